--- a/bench/planning.ts
+++ b/bench/planning.ts
@@ -95,12 +95,15 @@
     const begunAt = performance.now();
     const plan = plans.planMap(map, demand, even, limits);
     planMs.push(performance.now() - begunAt);
-    if (plan === undefined || plan.before - plan.after < MIN_GAIN) {
+    if (
+      plan === undefined ||
+      plan.imbalanceBefore - plan.imbalanceAfter < MIN_GAIN
+    ) {
       break;
     }
     ({map} = plan);
     copies += plan.copies;
-    after.push(plan.after);
+    after.push(plan.imbalanceAfter);
   }
   const [afterFirst = before] = after;
   const afterAll = after[after.length - 1] ?? before;
@@ -108,7 +111,7 @@
 }
 
 function runSite(one: Site): object {
-  let map: plans.MapPlan['map'] = packing.dealtMap(one);
+  let map: plans.MapPlan['map'] = packing.initialMap(one);
   let demand = Array.from({length: one.sets}, () => skewed(one));
   const ends: DriftEnd[] = [];
   for (let drift = 0; drift < DRIFTS; drift += 1) {
--- a/src/experts/app.ts
+++ b/src/experts/app.ts
@@ -133,7 +133,7 @@
   }
   const {map, base, ...rest} = value;
   const isFirst = isWhole || base.version === DEALT_VERSION;
-  const against = isFirst ? packing.dealtMap(packing.shapeOf(map)) : base.map;
+  const against = isFirst ? packing.initialMap(packing.shapeOf(map)) : base.map;
   return {
     ...rest,
     base: isFirst ? DEALT_VERSION : base.version,
--- a/src/experts/change.test.ts
+++ b/src/experts/change.test.ts
@@ -71,7 +71,7 @@
   step = 0;
   isMixed = false;
   /** Time for which a pass was not begun, at most at a stretch. */
-  longestHeldMs = 0;
+  maxHeldMs = 0;
   private heldSince: number | undefined;
   readonly ranks: Rank[] = Array.from({length: RANKS}, () => ({
     map: {version: 0, content: JSON.stringify(mapOf(0))},
@@ -166,7 +166,7 @@
       if (this.ranks.some(rank => rank.held === this.step + 1)) {
         this.heldSince ??= this.sim.now;
         const heldMs = this.sim.now - this.heldSince;
-        this.longestHeldMs = Math.max(this.longestHeldMs, heldMs);
+        this.maxHeldMs = Math.max(this.maxHeldMs, heldMs);
       } else {
         this.heldSince = undefined;
         this.beginPass();
@@ -191,11 +191,11 @@
 }
 
 /** Where orders go wrong. */
-interface Trouble {
+interface Faults {
   /** Share of orders that get no answer and are carried out late. */
-  readonly late: number;
+  readonly lateShare: number;
   /** Share of answers that are lost. */
-  readonly lost: number;
+  readonly lostShare: number;
 }
 
 /** An instance that stands still, with its sidecar, from one time to another. */
@@ -206,7 +206,7 @@
 }
 
 /** How long callers wait for an instance that does not answer. */
-const SILENT_MS = 120;
+const CALL_TIMEOUT_MS = 120;
 
 /**
  * The ways of a planner on one instance to the ranks. Sidecars obey the
@@ -236,7 +236,7 @@
     return Promise.all(
       places.map(at =>
         this.call<types.RankReading | undefined>(at, undefined, () =>
-          this.obeys(at)
+          this.acceptsTerm(at)
             ? {
                 state: group.stateOf(at),
                 gave: group.ranks[at]!.gave,
@@ -256,7 +256,7 @@
       places.map(at =>
         this.retry(() =>
           this.call<types.OrderResult>(at, 'no-answer', () =>
-            this.obeys(at) ? this.give(at, order) : 'deposed',
+            this.acceptsTerm(at) ? this.deliver(at, order) : 'deposed',
           ),
         ),
       ),
@@ -271,7 +271,7 @@
       places.map(at =>
         this.retry(() =>
           this.call<types.OrderResult>(at, 'no-answer', () =>
-            this.give(at, order),
+            this.deliver(at, order),
           ),
         ),
       ),
@@ -290,7 +290,7 @@
         : undefined;
     const beside = new FakeRanks(this.world, helper, this.term);
     return this.call<types.OrderResult>(helper, 'no-answer', async () => {
-      if (!this.obeys(helper)) {
+      if (!this.acceptsTerm(helper)) {
         return 'deposed';
       }
       group.ranks[helper]!.gave = given ?? null;
@@ -315,18 +315,18 @@
   }
 
   /** At a rank's engine; answers may be lost, and orders come late. */
-  private give(at: number, order: types.Order): types.OrderResult {
+  private deliver(at: number, order: types.Order): types.OrderResult {
     const {sim, group, trouble} = this.world;
-    if (sim.unit() < trouble.late) {
+    if (sim.unit() < trouble.lateShare) {
       const lateMs = 50 + sim.unit() * 3_000;
       sim.after(lateMs, () => group.carryOut(at, order));
       return 'no-answer';
     }
     const result = group.carryOut(at, order);
-    return sim.unit() < trouble.lost ? 'no-answer' : result;
+    return sim.unit() < trouble.lostShare ? 'no-answer' : result;
   }
 
-  private obeys(at: number): boolean {
+  private acceptsTerm(at: number): boolean {
     const rank = this.world.group.ranks[at]!;
     rank.term = Math.max(rank.term, this.term);
     return this.term === rank.term;
@@ -340,20 +340,20 @@
   ): Promise<T> {
     const {sim} = this.world;
     const hop = () => 1 + sim.unit() * 20;
-    await this.world.thaw(this.own);
+    await this.world.untilRunning(this.own);
     await sim.sleep(hop());
     const work = (async () => {
-      await this.world.thaw(at);
+      await this.world.untilRunning(at);
       const result = await there();
-      await this.world.thaw(at);
+      await this.world.untilRunning(at);
       await sim.sleep(hop());
       return result;
     })();
     const result = await Promise.race([
       work,
-      sim.sleep(SILENT_MS).then(() => silence),
+      sim.sleep(CALL_TIMEOUT_MS).then(() => silence),
     ]);
-    await this.world.thaw(this.own);
+    await this.world.untilRunning(this.own);
     return result;
   }
 }
@@ -370,7 +370,7 @@
 
   constructor(
     seed: number,
-    readonly trouble: Trouble,
+    readonly trouble: Faults,
   ) {
     this.sim = new Simulation(seed);
     this.group = new FakeGroup(this.sim);
@@ -381,7 +381,7 @@
   }
 
   /** Resolves when an instance runs. */
-  async thaw(rank: number): Promise<void> {
+  async untilRunning(rank: number): Promise<void> {
     const {freeze} = this;
     if (freeze?.rank === rank && this.sim.now >= freeze.from) {
       await this.sim.sleep(Math.max(0, freeze.to - this.sim.now));
@@ -389,8 +389,8 @@
   }
 }
 
-function newTrace(): changes.ChangeTrace {
-  return {spentStep: 0, armMs: undefined};
+function newState(): changes.ChangerState {
+  return {lastUsedStep: 0, armMs: undefined};
 }
 
 function change(version: number): changes.Change {
@@ -400,25 +400,25 @@
     map: mapOf(version),
     former: {version: 0, map: mapOf(0)},
     expectedMs: 10,
-    patienceMs: 100,
+    copyTimeoutMs: 100,
     passesAhead: () => version % 4,
   };
 }
 
 const SEEDS = Array.from({length: 150}, (_, seed) => seed + 1);
-const CALM: Trouble = {late: 0, lost: 0};
-const LATE: Trouble = {late: 0.35, lost: 0.1};
-const PARTS = {own: 0, holder: 1, helper: 3};
+const NO_FAULTS: Faults = {lateShare: 0, lostShare: 0};
+const LATE_OR_LOST: Faults = {lateShare: 0.35, lostShare: 0.1};
+const ROLES = {own: 0, holder: 1, helper: 3};
 
 describe('changing the map of a group in lock-step', () => {
   it('puts the map in force at every rank, and leaves nothing held', async () => {
-    const world = new World(7, CALM);
+    const world = new World(7, NO_FAULTS);
     const {sim, group} = world;
     const work = changes.changeMap(
       world.ranksOf(0, 1),
       change(5),
-      PARTS,
-      newTrace(),
+      ROLES,
+      newState(),
       SILENT_LOG,
     );
     await sim.until(work, 20_000);
@@ -430,14 +430,14 @@
   });
 
   it.each([
-    ['a calm group', CALM],
-    ['orders that come late and answers that are lost', LATE],
+    ['a calm group', NO_FAULTS],
+    ['orders that come late and answers that are lost', LATE_OR_LOST],
   ])('never begins a pass with two maps: %s', async (_, trouble) => {
     for (const seed of SEEDS) {
       const world = new World(seed, trouble);
       const {sim, group} = world;
       const ranks = world.ranksOf(0, 1);
-      const trace = newTrace();
+      const trace = newState();
       const work = (async () => {
         for (let at = 1; at <= 4; at += 1) {
           const holder = 1 + (at % 3);
@@ -453,11 +453,19 @@
   });
 
   it.each([
-    ['the planner, in a calm group', 0, CALM],
-    ['the planner, with orders that come late and answers lost', 0, LATE],
-    ['the holder, in a calm group', 1, CALM],
-    ['the helper, in a calm group', 3, CALM],
-    ['the helper, with orders that come late and answers lost', 3, LATE],
+    ['the planner, in a calm group', 0, NO_FAULTS],
+    [
+      'the planner, with orders that come late and answers lost',
+      0,
+      LATE_OR_LOST,
+    ],
+    ['the holder, in a calm group', 1, NO_FAULTS],
+    ['the helper, in a calm group', 3, NO_FAULTS],
+    [
+      'the helper, with orders that come late and answers lost',
+      3,
+      LATE_OR_LOST,
+    ],
   ])('survives an instance that freezes: %s', async (_, rank, trouble) => {
     for (const seed of SEEDS) {
       const world = new World(seed, trouble);
@@ -467,8 +475,8 @@
       const old = changes.changeMap(
         world.ranksOf(0, 1),
         change(1),
-        PARTS,
-        newTrace(),
+        ROLES,
+        newState(),
         SILENT_LOG,
       );
       await sim.runFor(from + 400);
@@ -476,7 +484,7 @@
       await sim.until(Promise.all([old, taken]), 60_000);
       await sim.runFor(5_000);
       // A planner goes on looking for what came late.
-      await sim.until(endLeft(world, 2), 60_000);
+      await sim.until(finishLeftovers(world, 2), 60_000);
       expect([seed, group.isMixed]).toEqual([seed, false]);
       expect([seed, await taken]).toEqual([seed, 'armed']);
       expect([seed, group.ranks.map(one => one.held)]).toEqual([
@@ -489,14 +497,14 @@
   it('does not wait for a planner that froze as it gave orders', async () => {
     const held: number[] = [];
     for (const seed of SEEDS) {
-      const world = new World(seed, CALM);
+      const world = new World(seed, NO_FAULTS);
       const {sim, group} = world;
       const ranks = world.ranksOf(0, 1);
       const old = changes.changeMap(
         ranks,
         change(1),
-        PARTS,
-        newTrace(),
+        ROLES,
+        newState(),
         SILENT_LOG,
       );
       // The adversary strikes when the first rank beside its own is armed.
@@ -509,7 +517,7 @@
       await sim.until(Promise.all([old, taken]), 60_000);
       await sim.runFor(3_000);
       expect([seed, group.isMixed]).toEqual([seed, false]);
-      held.push(group.longestHeldMs);
+      held.push(group.maxHeldMs);
     }
     expect(Math.max(...held)).toBeLessThan(1_500);
   });
@@ -517,14 +525,14 @@
   it('does not wait for a helper that froze as it gave its order', async () => {
     const held: number[] = [];
     for (const seed of SEEDS) {
-      const world = new World(seed, CALM);
+      const world = new World(seed, NO_FAULTS);
       const {sim, group} = world;
       const ranks = world.ranksOf(0, 1);
       const old = changes.changeMap(
         ranks,
         change(1),
-        PARTS,
-        newTrace(),
+        ROLES,
+        newState(),
         SILENT_LOG,
       );
       while (group.ranks[0]!.armed === null) {
@@ -535,7 +543,7 @@
       await sim.runFor(3_000);
       expect([seed, await old]).toEqual([seed, 'backed-out']);
       expect([seed, group.isMixed]).toEqual([seed, false]);
-      held.push(group.longestHeldMs);
+      held.push(group.maxHeldMs);
     }
     expect(Math.max(...held)).toBeLessThan(1_500);
   });
@@ -543,10 +551,10 @@
   it('releases a hold that came after its release, once it shows', async () => {
     const held: number[] = [];
     for (const seed of SEEDS) {
-      const world = new World(seed, CALM);
+      const world = new World(seed, NO_FAULTS);
       const {sim, group} = world;
       const ranks = world.ranksOf(0, 1);
-      const trace = newTrace();
+      const trace = newState();
       // The helper takes the order to hold and stands still, without an answer.
       const strikes = async () => {
         while (group.ranks[3]!.prepared === null) {
@@ -556,7 +564,7 @@
       };
       void strikes();
       const next = {...change(1), passesAhead: () => 12};
-      const old = changes.changeMap(ranks, next, PARTS, trace, SILENT_LOG);
+      const old = changes.changeMap(ranks, next, ROLES, trace, SILENT_LOG);
       await sim.until(old, 60_000);
       if ((await old) !== 'not-held') {
         continue;
@@ -568,7 +576,7 @@
           return changes.releaseLateHold(
             ranks,
             readings.flatMap(one => one ?? []),
-            trace.spentStep,
+            trace.lastUsedStep,
           );
         })();
         await sim.until(release, 60_000);
@@ -577,14 +585,14 @@
       }
       expect([seed, group.isMixed]).toEqual([seed, false]);
       expect(group.ranks.every(one => one.held === null)).toBe(true);
-      held.push(group.longestHeldMs);
+      held.push(group.maxHeldMs);
     }
     expect(held.length).toBeGreaterThan(20);
     expect(Math.max(...held)).toBeLessThan(1_500);
   });
 
   it('leaves a hold that is not its own, and one with ranks armed', async () => {
-    const world = new World(5, CALM);
+    const world = new World(5, NO_FAULTS);
     const {sim, group} = world;
     const ranks = world.ranksOf(0, 1);
     const step = group.step + 40;
@@ -607,7 +615,7 @@
   });
 
   it('waits for a planner whose rank may be armed', async () => {
-    const world = new World(3, CALM);
+    const world = new World(3, NO_FAULTS);
     const {sim, group} = world;
     const ranks = world.ranksOf(2, 2);
     group.ranks.forEach((_, at) => group.carryOut(at, prepare(9)));
@@ -617,7 +625,7 @@
     group.ranks[3]!.gave = gave;
     const end = async () => {
       const readings = (await ranks.read([1, 2, 3])).flatMap(one => one ?? []);
-      return changes.endOrphaned(ranks, readings, 0, SILENT_LOG);
+      return changes.resolveOrphaned(ranks, readings, 0, SILENT_LOG);
     };
     const first = end();
     await sim.until(first, 10_000);
@@ -633,7 +641,7 @@
   });
 
   it('waits where a sidecar has forgotten what it gave', async () => {
-    const world = new World(3, CALM);
+    const world = new World(3, NO_FAULTS);
     const {sim, group} = world;
     const ranks = world.ranksOf(2, 2);
     const step = group.step + 40;
@@ -642,7 +650,7 @@
       const readings = (await ranks.read([1, 2, 3])).flatMap(one => one ?? []);
       const [first, ...rest] = readings as [types.RankReading];
       const forgetful = [{...first, gave: undefined}, ...rest];
-      return changes.endOrphaned(ranks, forgetful, 0, SILENT_LOG);
+      return changes.resolveOrphaned(ranks, forgetful, 0, SILENT_LOG);
     })();
     await sim.until(work, 10_000);
     expect(await work).toBe('unknown');
@@ -667,7 +675,7 @@
 async function takeOver(world: World, own: number): Promise<string> {
   const ranks = world.ranksOf(own, 2);
   // A planner that finds a change given up spares the passes it may name.
-  const trace = {spentStep: world.group.step + 9, armMs: undefined};
+  const trace = {lastUsedStep: world.group.step + 9, armMs: undefined};
   let version = 10;
   for (;;) {
     const readings = (await ranks.read(ranks.all)).flatMap(one => one ?? []);
@@ -693,7 +701,7 @@
         states.every(state => state.rank !== at),
       )!;
       if (silent === 0) {
-        await changes.endOrphaned(ranks, readings, silent, SILENT_LOG);
+        await changes.resolveOrphaned(ranks, readings, silent, SILENT_LOG);
       }
     }
     await world.sim.sleep(100);
@@ -701,7 +709,7 @@
 }
 
 /** Ends what orders that came late have left behind. */
-async function endLeft(world: World, own: number): Promise<void> {
+async function finishLeftovers(world: World, own: number): Promise<void> {
   const ranks = world.ranksOf(own, 2);
   for (;;) {
     const readings = (await ranks.read(ranks.all)).flatMap(one => one ?? []);
--- a/src/experts/change.ts
+++ b/src/experts/change.ts
@@ -37,7 +37,7 @@
 } from './types';
 
 /** How a change ended. */
-export type ChangeEnd =
+export type ChangeOutcome =
   /** Every rank takes the map as the held pass begins. */
   | 'armed'
   /** Nothing was armed; the map in force stays. */
@@ -62,28 +62,28 @@
   /** Time that the copying should take, in milliseconds. */
   readonly expectedMs: number;
   /** Longest time for it. */
-  readonly patienceMs: number;
+  readonly copyTimeoutMs: number;
   /** Passes that will begin while the ranks are being armed, from now. */
   passesAhead(): number;
 }
 
 /** What planners carry from one change to the next. */
-export interface ChangeTrace {
+export interface ChangerState {
   /** No pass up to this one is held again. */
-  spentStep: number;
+  lastUsedStep: number;
   /** Milliseconds that arming took, where it came to an end. */
   armMs: number | undefined;
 }
 
 /** Tries to hold the group before a pass that has not begun. */
-const HOLD_TRIES = 5;
+const MAX_HOLD_ATTEMPTS = 5;
 /** Time for a copy that moves nothing, in milliseconds. */
-const VOID_PATIENCE_MS = 200;
+const REVOKE_COPY_TIMEOUT_MS = 200;
 /** Rounds of orders to ranks that have not answered yet. */
-const ARM_ROUNDS = 4;
+const MAX_ARM_ROUNDS = 4;
 
 /** Who takes part in a change beside the ranks. */
-export interface Parts {
+export interface ChangeRoles {
   /** The planner's own rank. */
   readonly own: number;
   /** The rank that holds the group meanwhile; not the planner's. */
@@ -96,11 +96,18 @@
 export async function changeMap(
   ranks: Ranks,
   change: Change,
-  {own, holder, helper}: Parts,
-  trace: ChangeTrace,
+  {own, holder, helper}: ChangeRoles,
+  trace: ChangerState,
   log: Log,
-): Promise<ChangeEnd> {
-  const {epoch, version, map, former, expectedMs, patienceMs} = change;
+): Promise<ChangeOutcome> {
+  const {
+    epoch,
+    version,
+    map,
+    former,
+    expectedMs,
+    copyTimeoutMs: patienceMs,
+  } = change;
   const prepared = await ranks.order(ranks.all, {
     kind: 'prepare',
     epoch,
@@ -114,7 +121,7 @@
     return 'deposed';
   }
   if (prepared.some(result => result !== 'done')) {
-    log.event('mapNotPrepared', {version, results: countOf(prepared)});
+    log.event('mapNotPrepared', {version, results: countByResult(prepared)});
     return 'not-prepared';
   }
   const begunAt = performance.now();
@@ -152,7 +159,7 @@
   holders: readonly number[],
   log: Log,
   before: ReadonlySet<number> = new Set(),
-): Promise<ChangeEnd> {
+): Promise<ChangeOutcome> {
   const {epoch, version, step, own, helper} = arming;
   const order: Order = {kind: 'arm', epoch, version, step};
   const first = before.has(own)
@@ -162,19 +169,19 @@
     case 'deposed':
       return 'deposed';
     case 'refused':
-      return backOut(ranks, arming, holders, log);
+      return rollBack(ranks, arming, holders, log);
     case 'no-answer':
       return before.size === 0
-        ? dropUnarmed(ranks, arming, holders, log)
+        ? abortWithoutHelper(ranks, arming, holders, log)
         : 'stuck';
     case 'done':
   }
   let open = ranks.all.filter(place => place !== own && !before.has(place));
   let ends: OrderResult[] = [];
-  for (let round = 0; open.length > 0 && round < ARM_ROUNDS; round += 1) {
+  for (let round = 0; open.length > 0 && round < MAX_ARM_ROUNDS; round += 1) {
     ends = await ranks.orderPast(open, order);
     if (ends.includes('refused')) {
-      return backOut(ranks, arming, holders, log);
+      return rollBack(ranks, arming, holders, log);
     }
     open = open.filter((_, at) => ends[at] !== 'done');
   }
@@ -182,7 +189,7 @@
     await ranks.orderPast(holders, {kind: 'release', epoch, step});
     return 'armed';
   }
-  log.event('mapChangeStuck', {version, step, results: countOf(ends)});
+  log.event('mapChangeStuck', {version, step, results: countByResult(ends)});
   return 'stuck';
 }
 
@@ -190,14 +197,14 @@
  * The helper is silent, and its rank can't be armed then. Nothing but the
  * planner's own rank may be.
  */
-async function dropUnarmed(
+async function abortWithoutHelper(
   ranks: Ranks,
   arming: Arming,
   holders: readonly number[],
   log: Log,
-): Promise<ChangeEnd> {
+): Promise<ChangeOutcome> {
   const {epoch, version, step, own, helper} = arming;
-  const result = await makeVoid(ranks, [own], arming);
+  const result = await revokeChange(ranks, [own], arming);
   log.event('mapChangeAborted', {version, step, helper, result});
   if (result !== 'done') {
     return result === 'deposed' ? 'deposed' : 'stuck';
@@ -210,12 +217,12 @@
  * A rank has refused to be armed: the group has formed anew, or the rank has
  * lost what it prepared. Only when no rank is armed may the group go on.
  */
-async function backOut(
+async function rollBack(
   ranks: Ranks,
   arming: Arming,
   holders: readonly number[],
   log: Log,
-): Promise<ChangeEnd> {
+): Promise<ChangeOutcome> {
   const {epoch, version, step} = arming;
   const states = await ranks.readStates(ranks.all);
   if (states.some(state => state !== undefined && state.epoch !== epoch)) {
@@ -225,7 +232,7 @@
     // The pass had begun: every rank took the map.
     return 'armed';
   }
-  const result = await makeVoid(ranks, ranks.all, arming);
+  const result = await revokeChange(ranks, ranks.all, arming);
   log.event('mapChangeAborted', {version, step, result});
   if (result !== 'done') {
     return result === 'deposed' ? 'deposed' : 'stuck';
@@ -238,7 +245,7 @@
  * Disarms ranks, and has them prepare the map in force under a newer version:
  * an order to arm them that is still under way is refused from then on.
  */
-async function makeVoid(
+async function revokeChange(
   ranks: Ranks,
   places: readonly number[],
   {epoch, version, former}: Pick<Arming, 'epoch' | 'version' | 'former'>,
@@ -254,10 +261,10 @@
     map: former.map,
     base: former,
     expectedMs: 0,
-    patienceMs: VOID_PATIENCE_MS,
+    patienceMs: REVOKE_COPY_TIMEOUT_MS,
   };
   let open = [...places];
-  for (let round = 0; round < ARM_ROUNDS; round += 1) {
+  for (let round = 0; round < MAX_ARM_ROUNDS; round += 1) {
     const disarmed = await ranks.order(open, disarm);
     const prepared = await ranks.order(open, prepare);
     if ([...disarmed, ...prepared].includes('deposed')) {
@@ -272,7 +279,7 @@
 }
 
 /** Where and how far ahead to hold a group. */
-interface Hold {
+interface HoldRequest {
   readonly own: number;
   readonly holder: number;
   readonly helper: number;
@@ -286,17 +293,17 @@
  */
 async function holdPass(
   ranks: Ranks,
-  {own, holder, helper, epoch, passesAhead}: Hold,
-  trace: ChangeTrace,
+  {own, holder, helper, epoch, passesAhead}: HoldRequest,
+  trace: ChangerState,
 ): Promise<number | undefined> {
-  for (let tries = 0; tries < HOLD_TRIES; tries += 1) {
+  for (let tries = 0; tries < MAX_HOLD_ATTEMPTS; tries += 1) {
     const [state] = await ranks.readStates([own]);
     if (state === undefined) {
       return undefined;
     }
     const next = state.step + 1 + passesAhead();
-    const step = Math.max(next, trace.spentStep + 1);
-    trace.spentStep = step;
+    const step = Math.max(next, trace.lastUsedStep + 1);
+    trace.lastUsedStep = step;
     const order: Order = {kind: 'hold', epoch, step};
     const result = await ranks.orderThrough(helper, holder, order);
     if (result === 'done') {
@@ -321,7 +328,7 @@
   readings: readonly RankReading[],
   own: number,
   log: Log,
-): Promise<ChangeEnd | 'nothing-left'> {
+): Promise<ChangeOutcome | 'nothing-left'> {
   const states = readings.map(one => one.state);
   const epoch = states[0]!.epoch;
   const held = states.flatMap(state => state.held ?? []);
@@ -332,7 +339,7 @@
   }
   const [first] = armed;
   if (first === undefined) {
-    return giveUpUnarmed(ranks, readings, log);
+    return abortUnarmed(ranks, readings, log);
   }
   const {step, version} = first;
   log.event('mapChangeRecovered', {version, step, armed: armed.length});
@@ -366,11 +373,11 @@
  * A group is held and none of its ranks is armed. Nobody arms them any more
  * but orders that are still under way; those are made void.
  */
-async function giveUpUnarmed(
+async function abortUnarmed(
   ranks: Ranks,
   readings: readonly RankReading[],
   log: Log,
-): Promise<ChangeEnd> {
+): Promise<ChangeOutcome> {
   const states = readings.map(one => one.state);
   const {epoch} = states[0]!;
   const version = Math.max(...states.map(state => state.prepared ?? 0));
@@ -379,7 +386,9 @@
   );
   const former = mapInForce(readings);
   const order = {epoch, version, former};
-  const result = isCertain ? 'done' : await makeVoid(ranks, ranks.all, order);
+  const result = isCertain
+    ? 'done'
+    : await revokeChange(ranks, ranks.all, order);
   log.event('mapChangeAborted', {version, isCertain, result});
   if (result !== 'done') {
     return result === 'deposed' ? 'deposed' : 'stuck';
@@ -429,7 +438,7 @@
 }
 
 /** What came of a change whose planner is silent. */
-export type OrphanEnd =
+export type OrphanOutcome =
   | 'nothing-held'
   /** Every rank is armed, the silent one too, and the group goes on. */
   | 'armed'
@@ -444,12 +453,12 @@
  * another and before any other; so the others know what became of it. Sidecars
  * that answered obey the new planner, and won't arm it any more.
  */
-export async function endOrphaned(
+export async function resolveOrphaned(
   ranks: Ranks,
   readings: readonly RankReading[],
   silent: number,
   log: Log,
-): Promise<OrphanEnd> {
+): Promise<OrphanOutcome> {
   const states = readings.map(one => one.state);
   const {epoch} = states[0]!;
   const held = states.flatMap(state => state.held ?? []);
@@ -505,7 +514,9 @@
   );
 }
 
-function countOf(results: readonly OrderResult[]): Record<string, number> {
+function countByResult(
+  results: readonly OrderResult[],
+): Record<string, number> {
   const counts: Record<string, number> = {};
   results.forEach(result => {
     counts[result] = (counts[result] ?? 0) + 1;
--- a/src/experts/group-links.test.ts
+++ b/src/experts/group-links.test.ts
@@ -296,7 +296,7 @@
     const times = {expectedMs: 0, patienceMs: 5_000};
     return {kind: 'prepare', epoch: 1, version, map: prepared, base, ...times};
   }
-  const first = packing.dealtMap({sets: 1, ranks: size, experts: EXPERTS});
+  const first = packing.initialMap({sets: 1, ranks: size, experts: EXPERTS});
 
   it('tells a map as what changed, and whole to who lacks the base', async () => {
     const ranks = links.ranksOf(await links.readAll())!;
--- a/src/experts/map-changer.ts
+++ b/src/experts/map-changer.ts
@@ -13,21 +13,21 @@
 import type {ExpertMap, RankReading, RankState} from './types';
 
 /** Copies may take this much longer than computed. */
-const COPY_SLACK = 2;
-const COPY_SLACK_MS = 400;
+const COPY_TIMEOUT_FACTOR = 2;
+const COPY_TIMEOUT_MARGIN_MS = 400;
 /** Time that arming is taken to need at first, in milliseconds. */
-const FIRST_ARM_MS = 30;
+const INITIAL_ARM_MS = 30;
 /** Part of the longest time that still counts at the next change. */
-const ARM_KEEP = 0.85;
+const ARM_TIME_DECAY = 0.85;
 /** Arming may take this much longer than it has lately, unnoticed. */
-const ARM_MARGIN = 1.2;
+const ARM_TIME_MARGIN = 1.2;
 /**
  * Time between looks at the own rank while the map is changed, in
  * milliseconds: a part of a pass. They cost nothing on the own instance.
  */
-const PASS_WATCH_MS = 10;
+const PASS_POLL_INTERVAL_MS = 10;
 /** Low part of a version that tells planners' maps apart. */
-const VERSION_UNIT = 2 ** 20;
+const VERSION_STRIDE = 2 ** 20;
 
 /** What a planner needs of the member that runs it. */
 export interface PlannerContext {
@@ -68,17 +68,17 @@
 /** The changes of one planner, one at a time. */
 export class MapChanger {
   readonly passes = new PassClock();
-  private armMs = FIRST_ARM_MS;
-  private spentEpoch = 0;
+  private armMs = INITIAL_ARM_MS;
+  private usedStepEpoch = 0;
   /**
    * Pass before which the last change may have held the group in vain;
    * undefined: it ended otherwise.
    */
-  private heldInVain: number | undefined;
+  private unconfirmedHoldStep: number | undefined;
   /** When the last change ended, on the monotonic clock. */
   endedAt = -Infinity;
-  private readonly trace: mapChange.ChangeTrace = {
-    spentStep: 0,
+  private readonly state: mapChange.ChangerState = {
+    lastUsedStep: 0,
     armMs: undefined,
   };
 
@@ -88,19 +88,19 @@
    * A change that somebody else has given up may have left a release under
    * way; the passes that it may name are not held.
    */
-  spareSteps(readings: readonly RankReading[]): void {
+  skipUsedSteps(readings: readonly RankReading[]): void {
     const isLeft = readings.some(
       ({state}) =>
         state.prepared !== null && state.prepared !== state.mapVersion,
     );
     const {step, epoch} = readings[0]!.state;
-    if (epoch !== this.spentEpoch) {
+    if (epoch !== this.usedStepEpoch) {
       // Orders of another epoch are refused.
-      this.spentEpoch = epoch;
-      this.trace.spentStep = 0;
+      this.usedStepEpoch = epoch;
+      this.state.lastUsedStep = 0;
     }
     const spent = isLeft ? step + MOST_PASSES_AHEAD + 1 : step;
-    this.trace.spentStep = Math.max(this.trace.spentStep, spent);
+    this.state.lastUsedStep = Math.max(this.state.lastUsedStep, spent);
   }
 
   /** Changes the map; rejects only where an order was given wrongly. */
@@ -108,10 +108,10 @@
     figures: ExpertFigures,
     known: MapInForce,
     {version, plan}: NextMap,
-  ): Promise<mapChange.ChangeEnd> {
+  ): Promise<mapChange.ChangeOutcome> {
     const begunAt = performance.now();
-    const expectedMs = plan.mostCopies * figures.copyMs;
-    const stopWatching = this.watchPasses();
+    const expectedMs = plan.maxCopiesPerRank * figures.copyMs;
+    const stopWatching = this.pollPasses();
     try {
       const own = this.context.ownRank();
       const end = await mapChange.changeMap(
@@ -122,15 +122,19 @@
           map: plan.map,
           former: {version: known.version, map: known.map},
           expectedMs,
-          patienceMs: expectedMs * COPY_SLACK + COPY_SLACK_MS,
+          copyTimeoutMs:
+            expectedMs * COPY_TIMEOUT_FACTOR + COPY_TIMEOUT_MARGIN_MS,
           passesAhead: () =>
-            this.passes.passesIn(this.armMs * ARM_MARGIN, performance.now()),
+            this.passes.passesIn(
+              this.armMs * ARM_TIME_MARGIN,
+              performance.now(),
+            ),
         },
         {
           own,
-          ...pickParts(known.ranks, own),
+          ...pickRoles(known.ranks, own),
         },
-        this.trace,
+        this.state,
         this.context.log,
       );
       const ms = Math.round(performance.now() - begunAt);
@@ -141,13 +145,14 @@
         version,
         end,
         copies: plan.copies,
-        before: Number(plan.before.toFixed(3)),
-        after: Number(plan.after.toFixed(3)),
+        before: Number(plan.imbalanceBefore.toFixed(3)),
+        after: Number(plan.imbalanceAfter.toFixed(3)),
         armMs: Math.round(this.armMs),
         ms,
       });
-      this.noteArming();
-      this.heldInVain = end === 'not-held' ? this.trace.spentStep : undefined;
+      this.recordArmTime();
+      this.unconfirmedHoldStep =
+        end === 'not-held' ? this.state.lastUsedStep : undefined;
       return end;
     } finally {
       this.endedAt = performance.now();
@@ -163,7 +168,7 @@
     ranks: GroupRanks,
     readings: readonly RankReading[],
   ): Promise<boolean> {
-    const step = this.heldInVain;
+    const step = this.unconfirmedHoldStep;
     return (
       step !== undefined &&
       (await mapChange.releaseLateHold(ranks, readings, step))
@@ -175,29 +180,32 @@
    * is held before a pass that has just enough time before it. A map that
    * takes effect a pass sooner spares the group one of its longest passes.
    */
-  private watchPasses(): () => void {
-    const timer = setInterval(() => void this.notePass(), PASS_WATCH_MS);
+  private pollPasses(): () => void {
+    const timer = setInterval(
+      () => void this.recordPass(),
+      PASS_POLL_INTERVAL_MS,
+    );
     return () => clearInterval(timer);
   }
 
-  private async notePass(): Promise<void> {
+  private async recordPass(): Promise<void> {
     const own = await this.context.ownState();
     if (own !== undefined) {
       this.passes.note(own.step, performance.now());
     }
   }
 
-  private noteArming(): void {
-    const {armMs} = this.trace;
+  private recordArmTime(): void {
+    const {armMs} = this.state;
     if (armMs !== undefined) {
-      this.armMs = Math.max(armMs, this.armMs * ARM_KEEP);
+      this.armMs = Math.max(armMs, this.armMs * ARM_TIME_DECAY);
       this.context.metrics.time('arming', this.context.group, 'all', armMs);
     }
   }
 }
 
 /** Two other ranks whose sidecars answer: one to hold, one to help. */
-function pickParts(
+function pickRoles(
   ranks: GroupRanks,
   own: number,
 ): {holder: number; helper: number} {
@@ -209,6 +217,6 @@
 
 /** Higher than all before, and never the same as another planner's. */
 export function nextVersion(highest: number): number {
-  const unit = Math.floor(highest / VERSION_UNIT) + 1;
-  return unit * VERSION_UNIT + random.below(VERSION_UNIT);
+  const unit = Math.floor(highest / VERSION_STRIDE) + 1;
+  return unit * VERSION_STRIDE + random.below(VERSION_STRIDE);
 }
--- a/src/experts/map-copies.test.ts
+++ b/src/experts/map-copies.test.ts
@@ -4,7 +4,7 @@
 import type {Order} from './types';
 
 const SHAPE = {sets: 2, ranks: 3, experts: 6};
-const FIRST = packing.dealtMap(SHAPE);
+const FIRST = packing.initialMap(SHAPE);
 
 function prepare(
   version: number,
--- a/src/experts/map-copies.ts
+++ b/src/experts/map-copies.ts
@@ -43,7 +43,7 @@
     shape: packing.MapShape,
   ): ExpertMap | undefined {
     return version === DEALT_VERSION
-      ? packing.dealtMap(shape)
+      ? packing.initialMap(shape)
       : this.copies.find(
           copy => copy.epoch === epoch && copy.version === version,
         )?.map;
--- a/src/experts/packing.test.ts
+++ b/src/experts/packing.test.ts
@@ -12,7 +12,7 @@
     })
     .chain(shape =>
       fc.tuple(
-        fc.constant(packing.dealtMap(shape)),
+        fc.constant(packing.initialMap(shape)),
         fc.array(
           fc.tuple(
             fc.nat(shape.sets - 1),
@@ -39,7 +39,7 @@
   });
 
   it('takes few bytes where few experts moved: 22 KB before, 3 at most', () => {
-    const base = packing.dealtMap(SHAPE);
+    const base = packing.initialMap(SHAPE);
     const moved = base.map((held, set) =>
       held.map((experts, rank) =>
         rank % 7 === set % 7 ? [...experts, (rank * 31) % 258] : experts,
@@ -68,7 +68,7 @@
   });
 
   it('tells its shape, from which the first map can be worked out', () => {
-    const map = packing.dealtMap(SHAPE);
+    const map = packing.initialMap(SHAPE);
     expect(packing.readShape(packing.packMap(map, map))).toEqual(SHAPE);
     expect(packing.readShape('?')).toBeUndefined();
     expect(map[3]![5]).toEqual([5, 134]);
--- a/src/experts/packing.ts
+++ b/src/experts/packing.ts
@@ -6,10 +6,10 @@
 import type {ExpertMap, Growth} from './types';
 
 /** Highest number of one byte. */
-const BYTE_MAX = 255;
-const BYTES_OF_WIDE = 2;
+const MAX_BYTE = 255;
+const WIDE_NUMBER_BYTES = 2;
 /** A packed map or growth is never larger than this, in bytes. */
-const MOST_BYTES = 8 * 1024 * 1024;
+const MAX_INFLATED_BYTES = 8 * 1024 * 1024;
 
 /** Which experts a set may have, and how many ranks hold them. */
 export interface MapShape {
@@ -26,7 +26,7 @@
 }
 
 /** The map that a group starts with: experts dealt out in turn. */
-export function dealtMap({sets, ranks, experts}: MapShape): number[][][] {
+export function initialMap({sets, ranks, experts}: MapShape): number[][][] {
   return Array.from({length: sets}, () => {
     const held: number[][] = Array.from({length: ranks}, () => []);
     for (let expert = 0; expert < experts; expert += 1) {
@@ -55,7 +55,7 @@
   map.forEach((held, set) =>
     held.forEach((one, rank) => {
       const before = base[set]?.[rank];
-      if (before === undefined || !isSame(one, before)) {
+      if (before === undefined || !isEqual(one, before)) {
         numbers.push(set, rank, one.length, ...one);
       }
     }),
@@ -85,34 +85,34 @@
     return undefined;
   }
   const map = base.map(held => [...held]);
-  let at = SHAPE_NUMBERS;
+  let at = SHAPE_LENGTH;
   while (at < numbers.length) {
     const cell = readCell(numbers, at);
     if (cell === undefined || map[cell.set]?.[cell.rank] === undefined) {
       return undefined;
     }
     map[cell.set]![cell.rank] = cell.experts;
-    at += CELL_NUMBERS + cell.experts.length;
+    at += CELL_HEADER_LENGTH + cell.experts.length;
   }
   return map;
 }
 
 /** Sets, ranks and experts come first. */
-const SHAPE_NUMBERS = 3;
+const SHAPE_LENGTH = 3;
 /** Set, rank and number of experts, before the experts of a cell. */
-const CELL_NUMBERS = 3;
+const CELL_HEADER_LENGTH = 3;
 
 function readCell(numbers: readonly number[], at: number): Cell | undefined {
-  const [set, rank, count] = numbers.slice(at, at + CELL_NUMBERS);
+  const [set, rank, count] = numbers.slice(at, at + CELL_HEADER_LENGTH);
   if (set === undefined || rank === undefined || count === undefined) {
     return undefined;
   }
-  const from = at + CELL_NUMBERS;
+  const from = at + CELL_HEADER_LENGTH;
   const experts = numbers.slice(from, from + count);
   return experts.length === count ? {set, rank, experts} : undefined;
 }
 
-function isSame(one: readonly number[], other: readonly number[]): boolean {
+function isEqual(one: readonly number[], other: readonly number[]): boolean {
   return (
     one.length === other.length && one.every((value, at) => value === other[at])
   );
@@ -120,8 +120,8 @@
 
 /** The width of a number in bytes, then the numbers. */
 function packNumbers(numbers: readonly number[]): Buffer {
-  const isNarrow = numbers.every(number => number <= BYTE_MAX);
-  const width = isNarrow ? 1 : BYTES_OF_WIDE;
+  const isNarrow = numbers.every(number => number <= MAX_BYTE);
+  const width = isNarrow ? 1 : WIDE_NUMBER_BYTES;
   const bytes = Buffer.alloc(1 + numbers.length * width);
   bytes[0] = width;
   numbers.forEach((number, at) =>
@@ -133,7 +133,7 @@
 function unpackNumbers(text: string): number[] | undefined {
   const bytes = inflate(text);
   const width = bytes?.[0] ?? 0;
-  const isWidth = width === 1 || width === BYTES_OF_WIDE;
+  const isWidth = width === 1 || width === WIDE_NUMBER_BYTES;
   if (bytes === undefined || !isWidth || (bytes.length - 1) % width !== 0) {
     return undefined;
   }
@@ -150,14 +150,14 @@
 function inflate(text: string): Buffer | undefined {
   try {
     const bytes = Buffer.from(text, 'base64');
-    return zlib.inflateRawSync(bytes, {maxOutputLength: MOST_BYTES});
+    return zlib.inflateRawSync(bytes, {maxOutputLength: MAX_INFLATED_BYTES});
   } catch {
     return undefined;
   }
 }
 
 /** Bytes that a packed growth should take at most; some share a narrow link. */
-const GROWTH_BYTES = 2_200;
+const TARGET_GROWTH_BYTES = 2_200;
 const BITS_PER_BYTE = 8;
 
 /**
@@ -165,9 +165,9 @@
  * bytes. A step takes about a bit less than it seems to, since most experts are
  * asked for far less than the first.
  */
-function stepsFor(length: number): number {
-  const bits = Math.floor((GROWTH_BYTES * BITS_PER_BYTE) / length) + 1;
-  return Math.min(2 ** bits - 1, BYTE_MAX);
+function quantizationSteps(length: number): number {
+  const bits = Math.floor((TARGET_GROWTH_BYTES * BITS_PER_BYTE) / length) + 1;
+  return Math.min(2 ** bits - 1, MAX_BYTE);
 }
 
 /**
@@ -188,7 +188,7 @@
     largest = Math.max(largest, growth[at]!);
   }
   const unit = largest || 1;
-  const steps = stepsFor(growth.length);
+  const steps = quantizationSteps(growth.length);
   const bytes = Buffer.alloc(growth.length);
   for (let at = 0; at < growth.length; at += 1) {
     bytes[at] = Math.round(Math.sqrt(growth[at]! / unit) * steps);
--- a/src/experts/plan.test.ts
+++ b/src/experts/plan.test.ts
@@ -27,7 +27,7 @@
 
 /** Plans several changes in a row, each from the one before. */
 function planInRow(demands: readonly (readonly Float64Array[])[]) {
-  const first = packing.dealtMap({...FIGURES, ranks: RANKS});
+  const first = packing.initialMap({...FIGURES, ranks: RANKS});
   const steps: {from: plans.MapPlan['map']; plan: plans.MapPlan}[] = [];
   let map: plans.MapPlan['map'] = first;
   for (const one of demands) {
@@ -82,8 +82,11 @@
     fc.assert(
       fc.property(demand, one => {
         for (const {from, plan} of planInRow([one])) {
-          expect(plan.before).toBeCloseTo(plans.imbalance(from, one, EVEN), 9);
-          expect(plan.after).toBeCloseTo(
+          expect(plan.imbalanceBefore).toBeCloseTo(
+            plans.imbalance(from, one, EVEN),
+            9,
+          );
+          expect(plan.imbalanceAfter).toBeCloseTo(
             plans.imbalance(plan.map, one, EVEN),
             9,
           );
@@ -100,16 +103,16 @@
       [hot, hot],
       [hot, hot],
     ]);
-    expect(first!.plan.before).toBeGreaterThan(5);
+    expect(first!.plan.imbalanceBefore).toBeGreaterThan(5);
     const last = second ?? first!;
-    expect(last.plan.after).toBeLessThan(1.3);
+    expect(last.plan.imbalanceAfter).toBeLessThan(1.3);
   });
 
   it('takes work away from a slow rank', () => {
     const even = Float64Array.from({length: FIGURES.experts}, () => 5);
     const slowness = [1, 1, 5, 1, 1, 1];
     const limits = {...LIMITS, copiesPerRank: 3};
-    let map: plans.MapPlan['map'] = packing.dealtMap({
+    let map: plans.MapPlan['map'] = packing.initialMap({
       ...FIGURES,
       ranks: RANKS,
     });
@@ -123,7 +126,7 @@
 
   it('plans nothing where demand is even', () => {
     const even = Float64Array.from({length: FIGURES.experts}, () => 5);
-    const map = packing.dealtMap({...FIGURES, ranks: RANKS});
+    const map = packing.initialMap({...FIGURES, ranks: RANKS});
     expect(plans.planMap(map, [even, even], EVEN, LIMITS)).toBeUndefined();
   });
 });
--- a/src/experts/plan.ts
+++ b/src/experts/plan.ts
@@ -3,8 +3,8 @@
  * may bring to a rank. Pure.
  */
 import type {Demand, PlanLimits, Slowness} from './plan-types';
-import * as setBoard from './set-board';
-import * as setPacking from './set-packing';
+import * as setBoard from './set-search';
+import * as setPacking from './set-placement';
 import type {ExpertMap} from './types';
 
 export interface MapPlan {
@@ -12,10 +12,10 @@
   /** Experts that ranks have to copy. */
   readonly copies: number;
   /** Of them, at the rank with the most. */
-  readonly mostCopies: number;
+  readonly maxCopiesPerRank: number;
   /** Most loaded rank over the mean, averaged over sets. */
-  readonly before: number;
-  readonly after: number;
+  readonly imbalanceBefore: number;
+  readonly imbalanceAfter: number;
 }
 
 /**
@@ -36,7 +36,7 @@
  * Where packing leaves ranks as even as this, single copies are not searched
  * for, which takes many times as long.
  */
-const EVEN_ENOUGH = 1.3;
+const SKIP_SEARCH_IMBALANCE = 1.3;
 
 /**
  * Plans a map; undefined where no change is worth its copies. Whole sets are
@@ -50,41 +50,43 @@
   slowness: Slowness,
   limits: PlanLimits,
 ): MapPlan | undefined {
-  const task: PlanTask = {map, demand, slowness, limits};
+  const task: PlanInput = {map, demand, slowness, limits};
   const worth = (plan: MapPlan) =>
-    plan.before - plan.after - (plan.copies * limits.minRelief) / map.length;
+    plan.imbalanceBefore -
+    plan.imbalanceAfter -
+    (plan.copies * limits.minRelief) / map.length;
   const better = (a: MapPlan | undefined, b: MapPlan | undefined) =>
     a === undefined || (b !== undefined && worth(b) > worth(a)) ? b : a;
-  const packed = planByPacking(task);
+  const packed = planByPlacement(task);
   const best =
-    packed !== undefined && packed.after < EVEN_ENOUGH
+    packed !== undefined && packed.imbalanceAfter < SKIP_SEARCH_IMBALANCE
       ? packed
       : better(planByCopies(task), packed);
   return best !== undefined && worth(best) > 0 ? best : undefined;
 }
 
 /** What a plan starts from. */
-interface PlanTask {
+interface PlanInput {
   readonly map: ExpertMap;
   readonly demand: Demand;
   readonly slowness: Slowness;
   readonly limits: PlanLimits;
 }
 
-function planByCopies(task: PlanTask): MapPlan | undefined {
+function planByCopies(task: PlanInput): MapPlan | undefined {
   const {map, demand, slowness, limits} = task;
   const boards = map.map(
-    (held, at) => new setBoard.SetBoard(held, demand[at]!, slowness),
+    (held, at) => new setBoard.SetSearch(held, demand[at]!, slowness),
   );
   const before = meanOf(boards.map(board => board.imbalance));
   const copied = new Array<number>(map[0]?.length ?? 0).fill(0);
-  const best: (setBoard.Action | undefined)[] = boards.map(() => undefined);
+  const best: (setBoard.Move | undefined)[] = boards.map(() => undefined);
   const isStale = boards.map(() => true);
   let copies = 0;
   for (;;) {
     boards.forEach((board, at) => {
-      if (isStale[at] || !fits(best[at], copied, limits)) {
-        best[at] = board.bestAction(limits, copied);
+      if (isStale[at] || !isWithinLimits(best[at], copied, limits)) {
+        best[at] = board.bestMove(limits, copied);
         isStale[at] = false;
       }
     });
@@ -106,14 +108,14 @@
   return {
     map: boards.map(board => board.sorted),
     copies,
-    mostCopies: Math.max(...copied),
-    before,
-    after: meanOf(boards.map(board => board.imbalance)),
+    maxCopiesPerRank: Math.max(...copied),
+    imbalanceBefore: before,
+    imbalanceAfter: meanOf(boards.map(board => board.imbalance)),
   };
 }
 
 /** Packs the sets, those with the most loaded ranks first. */
-function planByPacking(task: PlanTask): MapPlan | undefined {
+function planByPlacement(task: PlanInput): MapPlan | undefined {
   const {map, demand, slowness, limits} = task;
   const imbalances = map.map((held, at) =>
     setImbalance(held, demand[at]!, slowness),
@@ -127,12 +129,12 @@
     const room = copied.map(count =>
       Math.min(limits.spare, limits.copiesPerRank - count),
     );
-    const target = setPacking.packSet({
+    const target = setPacking.placeExperts({
       held,
       demand: demand[at]!,
       slowness,
       places: limits.places,
-      room,
+      maxNew: room,
     });
     if (target === undefined) {
       continue;
@@ -154,9 +156,9 @@
     : {
         map: packed,
         copies,
-        mostCopies: Math.max(...copied),
-        before: meanOf(imbalances),
-        after: meanOf(after),
+        maxCopiesPerRank: Math.max(...copied),
+        imbalanceBefore: meanOf(imbalances),
+        imbalanceAfter: meanOf(after),
       };
 }
 
@@ -184,8 +186,8 @@
   return most / (total / held.length || 1);
 }
 
-function fits(
-  action: setBoard.Action | undefined,
+function isWithinLimits(
+  action: setBoard.Move | undefined,
   copied: readonly number[],
   limits: PlanLimits,
 ): boolean {
@@ -195,9 +197,7 @@
   );
 }
 
-function indexOfBest(
-  actions: readonly (setBoard.Action | undefined)[],
-): number {
+function indexOfBest(actions: readonly (setBoard.Move | undefined)[]): number {
   let best = -1;
   actions.forEach((action, at) => {
     if (action !== undefined && action.relief > (actions[best]?.relief ?? 0)) {
--- a/src/experts/planner.ts
+++ b/src/experts/planner.ts
@@ -14,36 +14,36 @@
 import type {ExpertMap, GroupView, RankReading, RankState} from './types';
 
 /** Least time between readings of the ranks, in milliseconds. */
-const PERIOD_MS = 50;
+const MIN_PERIOD_MS = 50;
 /**
  * Time between looks whether a pass has begun, in milliseconds: until then the
  * ranks have counted nothing new. These looks cost nothing on the own instance,
  * a reading costs each sidecar of the group three calls.
  */
-const PASS_LOOK_MS = 15;
+const PASS_POLL_INTERVAL_MS = 15;
 /**
  * Periods after which the ranks are read though no pass has begun: sidecars
  * miss a planner after more than four.
  */
-const LONGEST_PERIODS = 2.5;
+const MAX_PERIODS_BETWEEN_READINGS = 2.5;
 /** Time between looks whether this process holds the seat, in milliseconds. */
-const NO_SEAT_PERIOD_MS = 400;
+const INACTIVE_PERIOD_MS = 400;
 /**
  * And at least so many times as long as readings take: what carries them, the
  * links and processors beside the ranks, carries map changes too.
  */
-const PERIOD_READINGS = 2;
+const MIN_PERIOD_READING_TIMES = 2;
 /** Longest time between readings, in milliseconds. */
-const LONGEST_PERIOD_MS = 400;
+const MAX_PERIOD_MS = 400;
 /** Weight of the newest reading in how long they take. */
-const NEW_READING_WEIGHT = 0.2;
+const READING_TIME_WEIGHT = 0.2;
 /** Tokens to be seen before a first plan, per expert. */
 const MIN_TOKENS_PER_EXPERT = 40;
 /**
  * Time that the copies of one change may take at a rank, in milliseconds:
  * copies slow passes down, and the worst should be relieved first.
  */
-const COPY_TIME_MS = 100;
+const MAX_COPY_TIME_MS = 100;
 /**
  * Least relief of a copy, in loads of a rank that has its fair part: a copy is
  * made by one rank, and what it relieves all ranks gain, so that it is worth
@@ -53,7 +53,7 @@
 /** Least gain of a whole change, in shares of the mean load. */
 const MIN_GAIN = 0.12;
 /** Entries are told of ranks that are slower than this. */
-const SLOW = 1.1;
+const SLOWNESS_THRESHOLD = 1.1;
 
 /** What a planner that may change the map knows of its group. */
 interface KnownGroup {
@@ -72,7 +72,7 @@
   private lastView: GroupView | undefined;
   private isChanging = false;
   private hasStarted = false;
-  private highestTried = 0;
+  private highestVersion = 0;
   private readonly changer: mapChanger.MapChanger;
   /** Milliseconds that a reading takes. */
   private readingMs = 0;
@@ -98,19 +98,19 @@
 
   /** Milliseconds between readings of the ranks. */
   get periodMs(): number {
-    const ms = this.readingMs * PERIOD_READINGS;
-    return Math.min(Math.max(ms, PERIOD_MS), LONGEST_PERIOD_MS);
+    const ms = this.readingMs * MIN_PERIOD_READING_TIMES;
+    return Math.min(Math.max(ms, MIN_PERIOD_MS), MAX_PERIOD_MS);
   }
 
   start(): void {
-    this.startIn(PERIOD_MS);
+    this.scheduleTick(MIN_PERIOD_MS);
   }
 
   /** Looks at once, where no look is under way. */
   wake(): void {
     if (this.timer !== undefined && !this.isClosed) {
       clearTimeout(this.timer);
-      this.startIn(0);
+      this.scheduleTick(0);
     }
   }
 
@@ -119,7 +119,7 @@
     clearTimeout(this.timer);
   }
 
-  private startIn(ms: number): void {
+  private scheduleTick(ms: number): void {
     this.timer = setTimeout(() => void this.tick(), ms);
   }
 
@@ -128,7 +128,7 @@
     this.timer = undefined;
     let nextMs = this.periodMs;
     try {
-      nextMs = await this.lookWhenDue();
+      nextMs = await this.readWhenDue();
     } catch (err) {
       this.context.log.event('plannerFault', {
         error: String((err as Error).stack),
@@ -136,33 +136,33 @@
     }
     if (!this.isClosed) {
       const tookMs = performance.now() - begunAt;
-      this.startIn(Math.max(nextMs - tookMs, 0));
+      this.scheduleTick(Math.max(nextMs - tookMs, 0));
     }
   }
 
   /** Answers the time from its begin to the next one, in milliseconds. */
-  private async lookWhenDue(): Promise<number> {
+  private async readWhenDue(): Promise<number> {
     if (this.context.term() === 0) {
       this.context.onTick();
-      this.forget();
-      return NO_SEAT_PERIOD_MS;
+      this.reset();
+      return INACTIVE_PERIOD_MS;
     }
     const now = performance.now();
-    const longestMs = this.periodMs * LONGEST_PERIODS;
+    const longestMs = this.periodMs * MAX_PERIODS_BETWEEN_READINGS;
     if (this.known !== undefined && now - this.lastRead.at < longestMs) {
       const own = await this.context.ownState();
       if (own === undefined || own.step === this.lastRead.step) {
-        return PASS_LOOK_MS;
+        return PASS_POLL_INTERVAL_MS;
       }
       this.changer.passes.note(own.step, now);
       this.lastRead.step = own.step;
     }
     this.lastRead.at = now;
-    await this.look();
+    await this.readAndPlan();
     return this.periodMs;
   }
 
-  private async look(): Promise<void> {
+  private async readAndPlan(): Promise<void> {
     this.context.onTick();
     const figures = this.context.figures();
     if (figures === undefined) {
@@ -171,18 +171,18 @@
       return;
     }
     if (this.known === undefined && !this.isChanging) {
-      await this.learn();
+      await this.recover();
       return;
     }
     const askedAt = performance.now();
     const reading = await this.context.links.read(links.PLANNING);
-    this.noteReadingTime(performance.now() - askedAt);
+    this.recordReadingTime(performance.now() - askedAt);
     if (reading.isDeposed) {
       this.context.onDeposed();
       return;
     }
-    this.noteStates(reading);
-    const hasDrifted = this.noteDemand(figures, reading);
+    this.updateStates(reading);
+    const hasDrifted = this.updateDemand(figures, reading);
     this.lastView = undefined;
     if (hasDrifted) {
       // Entries should hear of it before the next reading.
@@ -196,14 +196,14 @@
   }
 
   /** What was known before the seat was lost may be wrong by now. */
-  private forget(): void {
+  private reset(): void {
     this.known = undefined;
     this.demand = undefined;
     this.hasStarted = false;
   }
 
   /** Learns the map in force, and finishes what another planner left. */
-  private async learn(): Promise<void> {
+  private async recover(): Promise<void> {
     const {links, log, group, ownRank, term} = this.contextParts();
     const reading = await links.readAll();
     if (reading.isDeposed) {
@@ -212,20 +212,20 @@
     }
     const ranks = links.ranksOf(reading);
     if (ranks === undefined) {
-      await this.endOrphaned(reading);
+      await this.resolveOrphaned(reading);
       return;
     }
-    const readings = byRank(reading);
+    const readings = sortedByRank(reading);
     const end = await mapChange.finishChange(ranks, readings, ownRank, log);
     if (!this.hasStarted) {
       this.hasStarted = true;
       log.event('plannerStarted', {group, term, left: end});
     }
     if (end === 'nothing-left') {
-      this.known = knownOf(ranks, readings);
-      this.changer.spareSteps(readings);
+      this.known = knownGroupOf(ranks, readings);
+      this.changer.skipUsedSteps(readings);
     } else if (end === 'stuck' || end === 'deposed') {
-      this.giveUp();
+      this.stepDown();
     }
   }
 
@@ -239,7 +239,7 @@
    * A new planner that can read all ranks but its predecessor's must not wait
    * for that one: the group may be held.
    */
-  private async endOrphaned(reading: GroupReading): Promise<void> {
+  private async resolveOrphaned(reading: GroupReading): Promise<void> {
     const {links, log, metrics} = this.context;
     const former = this.context.formerRank();
     const readings = [...reading.ranks.values()];
@@ -252,17 +252,17 @@
       readings.every(one => one.state.rank !== former);
     if (isMissing) {
       const ranks = links.someRanksOf(reading);
-      const end = await mapChange.endOrphaned(ranks, readings, former, log);
+      const end = await mapChange.resolveOrphaned(ranks, readings, former, log);
       metrics.count('orphaned_changes_total', {end});
     }
   }
 
-  private noteReadingTime(ms: number): void {
-    this.readingMs += NEW_READING_WEIGHT * (ms - this.readingMs);
+  private recordReadingTime(ms: number): void {
+    this.readingMs += READING_TIME_WEIGHT * (ms - this.readingMs);
     this.context.metrics.time('reading', this.context.group, 'all', ms);
   }
 
-  private noteStates(reading: GroupReading): void {
+  private updateStates(reading: GroupReading): void {
     for (const {state} of reading.ranks.values()) {
       if (this.known === undefined || state.epoch !== this.known.epoch) {
         continue;
@@ -278,7 +278,7 @@
   }
 
   /** True where demand has changed at once. */
-  private noteDemand(figures: ExpertFigures, reading: GroupReading): boolean {
+  private updateDemand(figures: ExpertFigures, reading: GroupReading): boolean {
     this.demand ??= new RecentDemand(figures.sets);
     if (reading.growth === undefined) {
       return false;
@@ -311,7 +311,7 @@
     this.changer.passes.note(own.step, performance.now());
     const copiesPerRank = Math.max(
       1,
-      Math.floor(COPY_TIME_MS / Math.max(figures.copyMs, 1)),
+      Math.floor(MAX_COPY_TIME_MS / Math.max(figures.copyMs, 1)),
     );
     const plan = plans.planMap(known.map, demand, slownessOf(known), {
       places: figures.places,
@@ -319,13 +319,16 @@
       copiesPerRank,
       minRelief: MIN_RELIEF / known.ranks.size,
     });
-    if (plan === undefined || plan.before - plan.after < MIN_GAIN) {
+    if (
+      plan === undefined ||
+      plan.imbalanceBefore - plan.imbalanceAfter < MIN_GAIN
+    ) {
       return;
     }
     const version = mapChanger.nextVersion(
-      Math.max(own.mapVersion, own.prepared ?? 0, this.highestTried),
+      Math.max(own.mapVersion, own.prepared ?? 0, this.highestVersion),
     );
-    this.highestTried = version;
+    this.highestVersion = version;
     this.isChanging = true;
     void this.change(figures, known, {version, plan});
   }
@@ -381,14 +384,14 @@
       this.context.log.event('plannerFault', {
         error: String((err as Error).stack),
       });
-      this.forget();
+      this.reset();
     }
     this.isChanging = false;
   }
 
   private afterChange(
     known: KnownGroup,
-    end: mapChange.ChangeEnd,
+    end: mapChange.ChangeOutcome,
     version: number,
     map: ExpertMap,
   ): void {
@@ -406,12 +409,12 @@
         return;
       case 'stuck':
       case 'deposed':
-        this.giveUp();
+        this.stepDown();
     }
   }
 
-  private giveUp(): void {
-    this.forget();
+  private stepDown(): void {
+    this.reset();
     this.context.onDeposed();
   }
 }
@@ -427,20 +430,20 @@
     requests: states.map(one => one.running + one.waiting),
     imbalance: Number(imbalance.toFixed(3)),
     slow: states.flatMap(({rank, slowness}) =>
-      slowness > SLOW ? [{rank, slowness}] : [],
+      slowness > SLOWNESS_THRESHOLD ? [{rank, slowness}] : [],
     ),
   };
 }
 
 /** A reading in the order of the ranks. */
-function byRank(reading: GroupReading): RankReading[] {
+function sortedByRank(reading: GroupReading): RankReading[] {
   return [...reading.ranks.values()].sort(
     (a, b) => a.state.rank - b.state.rank,
   );
 }
 
 /** The map in force, where all ranks tell the same version of it. */
-function knownOf(
+function knownGroupOf(
   ranks: GroupRanks,
   readings: readonly RankReading[],
 ): KnownGroup | undefined {
--- a/src/experts/set-packing.test.ts
+++ b/src/experts/set-placement.test.ts
@@ -1,6 +1,6 @@
 import * as fc from 'fast-check';
 import * as packing from './packing';
-import * as setPacking from './set-packing';
+import * as setPacking from './set-placement';
 
 const RANKS = 9;
 const EXPERTS = 20;
@@ -17,7 +17,7 @@
 
 function firstHeld(): number[][] {
   const shape = {sets: 1, ranks: RANKS, experts: EXPERTS};
-  return packing.dealtMap(shape)[0]!;
+  return packing.initialMap(shape)[0]!;
 }
 
 /** Most loaded rank over the mean. */
@@ -38,7 +38,7 @@
         let held = firstHeld();
         for (const asked of [first, second]) {
           const task = {held, demand: asked, slowness: EVEN, places: PLACES};
-          const packed = setPacking.packSet({...task, room: rooms});
+          const packed = setPacking.placeExperts({...task, maxNew: rooms});
           if (packed === undefined) {
             continue;
           }
@@ -61,7 +61,10 @@
     const asked = Float64Array.from({length: EXPERTS}, () => 5);
     const held = firstHeld();
     const task = {held, demand: asked, slowness: EVEN, places: PLACES};
-    const packed = setPacking.packSet({...task, room: EVEN.map(() => 3)})!;
+    const packed = setPacking.placeExperts({
+      ...task,
+      maxNew: EVEN.map(() => 3),
+    })!;
     packed.forEach((experts, rank) =>
       expect(experts.filter(one => !held[rank]!.includes(one))).toHaveLength(0),
     );
@@ -72,7 +75,10 @@
     asked[3] = EXPERTS - 1;
     const held = firstHeld();
     const task = {held, demand: asked, slowness: EVEN, places: PLACES};
-    const packed = setPacking.packSet({...task, room: EVEN.map(() => 3)})!;
+    const packed = setPacking.placeExperts({
+      ...task,
+      maxNew: EVEN.map(() => 3),
+    })!;
     const holders = packed.filter(experts => experts.includes(3)).length;
     expect(holders).toBeGreaterThanOrEqual(5);
     expect(imbalanceOf(held, asked)).toBeGreaterThan(4);
@@ -84,7 +90,10 @@
     const slowness = EVEN.map((_, rank) => (rank === 2 ? 4 : 1));
     const held = firstHeld();
     const task = {held, demand: asked, slowness, places: PLACES};
-    const packed = setPacking.packSet({...task, room: EVEN.map(() => 3)})!;
+    const packed = setPacking.placeExperts({
+      ...task,
+      maxNew: EVEN.map(() => 3),
+    })!;
     expect(held[2]!.length).toBe(2);
     expect(packed[2]!.length).toBeLessThanOrEqual(1);
   });
--- a/src/experts/set-board.ts
+++ b/src/experts/set-search.ts
@@ -8,12 +8,12 @@
  * Loads count by their eighth power, so that the most loaded ranks weigh most
  * and ranks just beneath them are not forgotten.
  */
-function weigh(load: number): number {
+function eighthPower(load: number): number {
   const square = load * load;
   const fourth = square * square;
   return fourth * fourth;
 }
-const ROOT = 1 / 8;
+const ROOT_EXPONENT = 1 / 8;
 /** Hot ranks of a set that are tried to be relieved. */
 const HOT_RANKS = 2;
 /** Lightly loaded ranks of a set that are tried as places. */
@@ -25,34 +25,34 @@
 }
 
 /** One change of places within a set. */
-export interface Action {
+export interface Move {
   readonly expert: number;
   readonly from: number;
   readonly to: number;
   /** True: the expert stays on `from` too. */
-  readonly keeps: boolean;
+  readonly keepsSource: boolean;
   /** Dropped by `to`, where it has other holders; -1: none. */
-  readonly drops: number;
+  readonly evicted: number;
   /** Goes from `to` to `from`; -1: none. */
-  readonly back: number;
+  readonly swapped: number;
   readonly copiesTo: readonly number[];
   /** Fall of the weighted load per copy, in shares of the mean load. */
   readonly relief: number;
 }
 
 /** One set's places, and the loads that follow from them, by slowness. */
-export class SetBoard {
+export class SetSearch {
   readonly held: number[][];
   private readonly holders: number[][];
   private readonly loads: Float64Array;
-  private readonly brought: number[];
-  private readonly mean: number;
+  private readonly addedCounts: number[];
+  private readonly meanLoad: number;
   /** Sum of weighed loads, a smooth stand-in for the most loaded rank. */
-  private weighted: number;
+  private powerSum: number;
   /** What an action would change, for the ranks that it touches. */
-  private readonly delta: Float64Array;
-  private readonly touched: number[] = [];
-  private best: Action | undefined;
+  private readonly loadDeltas: Float64Array;
+  private readonly changedRanks: number[] = [];
+  private best: Move | undefined;
   private bestRelief = 0;
 
   constructor(
@@ -66,7 +66,7 @@
       experts.forEach(expert => this.holders[expert]!.push(rank)),
     );
     this.loads = new Float64Array(held.length);
-    this.brought = new Array<number>(held.length).fill(0);
+    this.addedCounts = new Array<number>(held.length).fill(0);
     let total = 0;
     demand.forEach((asked, expert) => {
       total += asked;
@@ -74,9 +74,9 @@
       const share = asked / ranks.length;
       ranks.forEach(rank => (this.loads[rank]! += share * slowness[rank]!));
     });
-    this.mean = total / held.length || 1;
-    this.delta = new Float64Array(held.length);
-    this.weighted = this.weighAll();
+    this.meanLoad = total / held.length || 1;
+    this.loadDeltas = new Float64Array(held.length);
+    this.powerSum = this.computePowerSum();
   }
 
   get sorted(): number[][] {
@@ -84,20 +84,17 @@
   }
 
   get imbalance(): number {
-    return Math.max(...this.loads) / this.mean;
+    return Math.max(...this.loads) / this.meanLoad;
   }
 
   /** The action with the greatest relief per copy. */
-  bestAction(
-    limits: PlanLimits,
-    copied: readonly number[],
-  ): Action | undefined {
+  bestMove(limits: PlanLimits, copied: readonly number[]): Move | undefined {
     const order = [...this.loads.keys()].sort(
       (a, b) => this.loads[b]! - this.loads[a]!,
     );
     const hot = order.slice(0, HOT_RANKS);
     const cold = order
-      .filter(rank => this.mayBring(rank, limits, copied))
+      .filter(rank => this.canAdd(rank, limits, copied))
       .slice(-COLD_RANKS);
     this.best = undefined;
     this.bestRelief = 0;
@@ -111,14 +108,21 @@
     return this.best;
   }
 
-  apply(action: Action): void {
-    const {expert, from, to, keeps, drops, back} = action;
-    this.changeLoads(expert, from, to, keeps, drops, back);
-    for (const rank of this.touched) {
-      this.loads[rank]! += this.delta[rank]!;
+  apply(action: Move): void {
+    const {
+      expert,
+      from,
+      to,
+      keepsSource: keeps,
+      evicted: drops,
+      swapped: back,
+    } = action;
+    this.computeDeltas(expert, from, to, keeps, drops, back);
+    for (const rank of this.changedRanks) {
+      this.loads[rank]! += this.loadDeltas[rank]!;
     }
-    this.resetChange();
-    this.weighted = this.weighAll();
+    this.clearDeltas();
+    this.powerSum = this.computePowerSum();
     this.add(expert, to);
     if (!keeps) {
       this.drop(expert, from);
@@ -141,28 +145,28 @@
     const ours = this.held[from]!;
     const theirs = this.held[to]!;
     const hasRoom = theirs.length < limits.places;
-    const dropped = hasRoom ? -1 : this.leastReplica(to);
-    const maySwap = this.mayBring(from, limits, copied);
-    const leastShare = limits.minRelief * this.mean;
+    const dropped = hasRoom ? -1 : this.leastLoadedReplica(to);
+    const maySwap = this.canAdd(from, limits, copied);
+    const leastShare = limits.minRelief * this.meanLoad;
     for (const expert of ours) {
       const share = this.shareOf(expert);
       if (share < leastShare || theirs.includes(expert)) {
         continue;
       }
       if (hasRoom || (dropped >= 0 && dropped !== expert)) {
-        this.rate(expert, from, to, true, dropped, -1);
-        this.rate(expert, from, to, false, dropped, -1);
+        this.evaluate(expert, from, to, true, dropped, -1);
+        this.evaluate(expert, from, to, false, dropped, -1);
       }
       for (const back of maySwap ? theirs : []) {
         if (this.shareOf(back) < share && !ours.includes(back)) {
-          this.rate(expert, from, to, false, -1, back);
+          this.evaluate(expert, from, to, false, -1, back);
         }
       }
     }
   }
 
   /** Keeps an action where it relieves more than the best so far. */
-  private rate(
+  private evaluate(
     expert: number,
     from: number,
     to: number,
@@ -170,13 +174,22 @@
     drops: number,
     back: number,
   ): void {
-    this.changeLoads(expert, from, to, keeps, drops, back);
+    this.computeDeltas(expert, from, to, keeps, drops, back);
     const copies = back >= 0 ? 2 : 1;
-    const relief = this.takeRelief() / copies;
+    const relief = this.computeRelief() / copies;
     if (relief > this.bestRelief) {
       const copiesTo = back >= 0 ? [to, from] : [to];
       this.bestRelief = relief;
-      this.best = {expert, from, to, keeps, drops, back, copiesTo, relief};
+      this.best = {
+        expert,
+        from,
+        to,
+        keepsSource: keeps,
+        evicted: drops,
+        swapped: back,
+        copiesTo,
+        relief,
+      };
     }
   }
 
@@ -184,18 +197,19 @@
     return this.demand[expert]! / this.holders[expert]!.length;
   }
 
-  private mayBring(
+  private canAdd(
     rank: number,
     limits: PlanLimits,
     copied: readonly number[],
   ): boolean {
     return (
-      this.brought[rank]! < limits.spare && copied[rank]! < limits.copiesPerRank
+      this.addedCounts[rank]! < limits.spare &&
+      copied[rank]! < limits.copiesPerRank
     );
   }
 
   /** The expert of a rank with other holders and the least load; -1: none. */
-  private leastReplica(rank: number): number {
+  private leastLoadedReplica(rank: number): number {
     let best = -1;
     let least = Infinity;
     for (const expert of this.held[rank]!) {
@@ -209,19 +223,20 @@
   }
 
   /** What the change in `delta` relieves, in shares of the mean load. */
-  private takeRelief(): number {
-    let sum = this.weighted;
-    for (const rank of this.touched) {
+  private computeRelief(): number {
+    let sum = this.powerSum;
+    for (const rank of this.changedRanks) {
       const now = this.loads[rank]!;
-      const then = now + this.delta[rank]!;
-      sum += weigh(then / this.mean) - weigh(now / this.mean);
+      const then = now + this.loadDeltas[rank]!;
+      sum +=
+        eighthPower(then / this.meanLoad) - eighthPower(now / this.meanLoad);
     }
-    this.resetChange();
-    return this.weighted ** ROOT - Math.max(sum, 0) ** ROOT;
+    this.clearDeltas();
+    return this.powerSum ** ROOT_EXPONENT - Math.max(sum, 0) ** ROOT_EXPONENT;
   }
 
   /** Puts into `delta` how an action changes the loads of `touched` ranks. */
-  private changeLoads(
+  private computeDeltas(
     expert: number,
     from: number,
     to: number,
@@ -235,48 +250,49 @@
     if (keeps) {
       const after = asked / (holders.length + 1);
       for (const rank of holders) {
-        this.touch(rank, after - share);
+        this.addDelta(rank, after - share);
       }
-      this.touch(to, after);
+      this.addDelta(to, after);
     } else {
-      this.touch(from, -share);
-      this.touch(to, share);
+      this.addDelta(from, -share);
+      this.addDelta(to, share);
     }
     if (drops >= 0) {
       const others = this.holders[drops]!;
       const before = this.demand[drops]! / others.length;
       const after = this.demand[drops]! / (others.length - 1);
       for (const rank of others) {
-        this.touch(rank, rank === to ? -before : after - before);
+        this.addDelta(rank, rank === to ? -before : after - before);
       }
     }
     if (back >= 0) {
       const shared = this.demand[back]! / this.holders[back]!.length;
-      this.touch(to, -shared);
-      this.touch(from, shared);
+      this.addDelta(to, -shared);
+      this.addDelta(from, shared);
     }
   }
 
-  private touch(rank: number, change: number): void {
-    if (this.delta[rank] === 0) {
-      this.touched.push(rank);
+  private addDelta(rank: number, change: number): void {
+    if (this.loadDeltas[rank] === 0) {
+      this.changedRanks.push(rank);
     }
     // Never exactly zero again, so that a rank is listed once.
     const weighted = change * this.slowness[rank]!;
-    this.delta[rank] = this.delta[rank]! + weighted || Number.MIN_VALUE;
+    this.loadDeltas[rank] =
+      this.loadDeltas[rank]! + weighted || Number.MIN_VALUE;
   }
 
-  private resetChange(): void {
-    for (const rank of this.touched) {
-      this.delta[rank] = 0;
+  private clearDeltas(): void {
+    for (const rank of this.changedRanks) {
+      this.loadDeltas[rank] = 0;
     }
-    this.touched.length = 0;
+    this.changedRanks.length = 0;
   }
 
-  private weighAll(): number {
+  private computePowerSum(): number {
     let sum = 0;
     for (const load of this.loads) {
-      sum += weigh(load / this.mean);
+      sum += eighthPower(load / this.meanLoad);
     }
     return sum;
   }
@@ -284,7 +300,7 @@
   private add(expert: number, rank: number): void {
     this.held[rank]!.push(expert);
     this.holders[expert]!.push(rank);
-    this.brought[rank]! += 1;
+    this.addedCounts[rank]! += 1;
   }
 
   private drop(expert: number, rank: number): void {
