--- a/src/experts/change.ts
+++ b/src/experts/change.ts
@@ -1,29 +1,30 @@
 /**
- * Changing the expert map of a group in lock-step, so that no pass begins
- * with two maps:
+ * Changes the expert map of a lock-step group so that all ranks switch at the
+ * same pass:
  *
- * 1. every rank has copied the new map, ordered by its own sidecar;
- * 2. one rank holds the group before a pass, ordered by another's sidecar;
- * 3. the planner's own rank is armed to take the map at that pass, by the same
- *    sidecar, which remembers it;
- * 4. all other ranks are armed from instances that are not their own, those
- *    of a few ranks first, whose sidecars then help with the rest;
+ * 1. every rank prepares (copies) the new map, ordered by its own sidecar;
+ * 2. one rank holds the group before a pass, ordered by the helper's sidecar;
+ * 3. the helper's sidecar arms the planner's rank to switch at that pass, and
+ *    records that it did;
+ * 4. all other ranks are armed from instances other than their own;
  * 5. the group is released.
  *
- * Nothing is armed before all have copied, and nothing is released before all
- * are armed. An order that is carried out late says what was meant anyway, or
- * names a pass that has begun, and is refused. A change that is given up is
- * made void first: ranks prepare the map in force once more under a newer
- * version, after which nothing can arm them for the one that was given up. A
- * pass whose hold or release got no answer is not held again: a release that
- * comes late would let the group go.
+ * No rank is armed before all have prepared, and the group is not released
+ * before all are armed. An order that arrives late either repeats what was
+ * intended or names a pass that has begun, and is then refused. An aborted
+ * change is revoked first: the ranks prepare the current map under a newer
+ * version, so that a late order cannot arm them for the aborted one. A pass
+ * whose hold or release got no answer is not held again, since a late release
+ * would end the new hold.
  *
- * An instance may freeze with its rank out of reach while that rank goes on
- * making passes. So nobody gives an order that only the rank beside it could
- * tell of: who takes over from a planner that is silent can read all ranks but
- * the planner's own, and a helper tells of that one. Then the change is
- * finished where the planner's rank is armed for certain, and given up where
- * it is certain that it isn't.
+ * An instance may freeze and make its rank unreachable while the rank itself
+ * keeps running. No rank is therefore armed through its own sidecar: a new
+ * planner can read every rank but its predecessor's, and the helper reports
+ * whether that one was armed. The change is completed if it was for certain,
+ * and aborted if it was not for certain.
+ *
+ * Limit: if neither is certain, the group stays held until the silent rank or
+ * the helper can be read again.
  */
 import {Log} from '../observability/log';
 import type {
@@ -36,68 +37,67 @@
   VersionedMap,
 } from './types';
 
-/** How a change ended. */
 export type ChangeOutcome =
-  /** Every rank takes the map as the held pass begins. */
+  /** Every rank switches to the map as the held pass begins. */
   | 'armed'
-  /** Nothing was armed; the map in force stays. */
+  /** No rank was armed; the current map stays in force. */
   | 'not-prepared'
   | 'not-held'
-  /** The group has formed anew; nothing is left of the change. */
+  /** The group has formed anew, which discards the change. */
   | 'regrouped'
-  /** Another planner goes on. */
+  /** A planner with a newer term has taken over. */
   | 'deposed'
-  /** Ranks that were armed were disarmed again. */
+  /** The change was aborted, and no rank is armed. */
   | 'backed-out'
-  /** The group is held and some ranks do not answer: somebody else must go on. */
+  /** The group is held and ranks do not answer; a new term must finish it. */
   | 'stuck';
 
-/** The change to be made. */
 export interface Change {
   readonly epoch: number;
   readonly version: number;
   readonly map: ExpertMap;
-  /** The map in force; its ranks have nothing to copy for it. */
+  /** The map in force before the change. */
   readonly former: VersionedMap;
-  /** Time that the copying should take, in milliseconds. */
+  /** Estimated time to copy the experts, in milliseconds. */
   readonly expectedMs: number;
-  /** Longest time for it. */
+  /** Time limit for copying, in milliseconds. */
   readonly copyTimeoutMs: number;
-  /** Passes that will begin while the ranks are being armed, from now. */
+  /** Passes expected to begin within the time that arming takes. */
   passesAhead(): number;
 }
 
-/** What planners carry from one change to the next. */
+/** State that a planner keeps from one change to the next. */
 export interface ChangerState {
-  /** No pass up to this one is held again. */
+  /** Passes up to this one must not be held again. */
   lastUsedStep: number;
-  /** Milliseconds that arming took, where it came to an end. */
+  /**
+   * Milliseconds from preparation to release in the last change that held the
+   * group; undefined if that one did not end as `armed`.
+   */
   armMs: number | undefined;
 }
 
-/** Tries to hold the group before a pass that has not begun. */
 const MAX_HOLD_ATTEMPTS = 5;
-/** Time for a copy that moves nothing, in milliseconds. */
+/** Time limit for preparing the current map, for which nothing is copied. */
 const REVOKE_COPY_TIMEOUT_MS = 200;
-/** Rounds of orders to ranks that have not answered yet. */
 const MAX_ARM_ROUNDS = 4;
 
-/** Who takes part in a change beside the ranks. */
+/** Ranks with a special part in a change. */
 export interface ChangeRoles {
   /** The planner's own rank. */
   readonly own: number;
-  /** The rank that holds the group meanwhile; not the planner's. */
+  /** The rank that holds the group; not the planner's. */
   readonly holder: number;
-  /** The rank whose sidecar arms the planner's; neither of the two. */
+  /** The rank whose sidecar arms the planner's rank; neither of the two. */
   readonly helper: number;
 }
 
-/** Makes a change. */
+/** Runs all steps of a change; failures are outcomes, not exceptions. */
 export async function changeMap(
   ranks: Ranks,
   change: Change,
   {own, holder, helper}: ChangeRoles,
-  trace: ChangerState,
+  changerState: ChangerState,
   log: Log,
 ): Promise<ChangeOutcome> {
   const {
@@ -124,78 +124,89 @@
     log.event('mapNotPrepared', {version, results: countByResult(prepared)});
     return 'not-prepared';
   }
-  const begunAt = performance.now();
+  const startedAt = performance.now();
   const passesAhead = () => change.passesAhead();
   const hold = {own, holder, helper, epoch, passesAhead};
-  const step = await holdPass(ranks, hold, trace);
+  const step = await holdPass(ranks, hold, changerState);
   if (step === undefined) {
     return 'not-held';
   }
   const arming = {epoch, version, step, own, helper, former};
-  const end = await armAndRelease(ranks, arming, [holder], log);
-  trace.armMs = end === 'armed' ? performance.now() - begunAt : undefined;
-  return end;
+  const outcome = await armAndRelease(ranks, arming, [holder], log);
+  changerState.armMs =
+    outcome === 'armed' ? performance.now() - startedAt : undefined;
+  return outcome;
 }
 
-/** What has to be armed, and where. */
+/** The map version to arm, the pass to arm it for, and who arms whom. */
 interface Arming {
   readonly epoch: number;
   readonly version: number;
   readonly step: number;
-  /** The planner's own rank, which is armed first, by the helper's sidecar. */
+  /** The planner's own rank, armed before all others. */
   readonly own: number;
   readonly helper: number;
-  /** Undefined where it isn't known; then the change can't be given up. */
+  /** The map in force; undefined if unknown, which rules out revoking. */
   readonly former: VersionedMap | undefined;
 }
 
 /**
- * Arms every rank while the group is held, then releases it. Some may be
- * armed `before`, for the same map and pass.
+ * Arms every rank while the group is held, then releases it. Ranks in
+ * `alreadyArmed` are skipped; they are armed for the same version and pass.
  */
 async function armAndRelease(
   ranks: Ranks,
   arming: Arming,
   holders: readonly number[],
   log: Log,
-  before: ReadonlySet<number> = new Set(),
+  alreadyArmed: ReadonlySet<number> = new Set(),
 ): Promise<ChangeOutcome> {
   const {epoch, version, step, own, helper} = arming;
   const order: Order = {kind: 'arm', epoch, version, step};
-  const first = before.has(own)
+  const ownResult = alreadyArmed.has(own)
     ? 'done'
     : await ranks.orderThrough(helper, own, order);
-  switch (first) {
+  switch (ownResult) {
     case 'deposed':
       return 'deposed';
     case 'refused':
       return rollBack(ranks, arming, holders, log);
     case 'no-answer':
-      return before.size === 0
+      return alreadyArmed.size === 0
         ? abortWithoutHelper(ranks, arming, holders, log)
         : 'stuck';
     case 'done':
   }
-  let open = ranks.all.filter(place => place !== own && !before.has(place));
-  let ends: OrderResult[] = [];
-  for (let round = 0; open.length > 0 && round < MAX_ARM_ROUNDS; round += 1) {
-    ends = await ranks.orderPast(open, order);
-    if (ends.includes('refused')) {
+  let pending = ranks.all.filter(
+    rank => rank !== own && !alreadyArmed.has(rank),
+  );
+  let results: OrderResult[] = [];
+  for (
+    let round = 0;
+    pending.length > 0 && round < MAX_ARM_ROUNDS;
+    round += 1
+  ) {
+    results = await ranks.orderPast(pending, order);
+    if (results.includes('refused')) {
       return rollBack(ranks, arming, holders, log);
     }
-    open = open.filter((_, at) => ends[at] !== 'done');
+    pending = pending.filter((_, at) => results[at] !== 'done');
   }
-  if (open.length === 0) {
+  if (pending.length === 0) {
     await ranks.orderPast(holders, {kind: 'release', epoch, step});
     return 'armed';
   }
-  log.event('mapChangeStuck', {version, step, results: countByResult(ends)});
+  log.event('mapChangeStuck', {
+    version,
+    step,
+    results: countByResult(results),
+  });
   return 'stuck';
 }
 
 /**
- * The helper is silent, and its rank can't be armed then. Nothing but the
- * planner's own rank may be.
+ * Aborts a change whose helper does not answer. At most the planner's own rank
+ * may be armed, so only that one is revoked.
  */
 async function abortWithoutHelper(
   ranks: Ranks,
@@ -214,8 +225,9 @@
 }
 
 /**
- * A rank has refused to be armed: the group has formed anew, or the rank has
- * lost what it prepared. Only when no rank is armed may the group go on.
+ * Handles a refused arm order: the group has formed anew, the pass has begun,
+ * or the rank lost its prepared map. The group is released only once the
+ * change is revoked at every rank.
  */
 async function rollBack(
   ranks: Ranks,
@@ -229,7 +241,7 @@
     return 'regrouped';
   }
   if (states.every(state => state?.mapVersion === version)) {
-    // The pass had begun: every rank took the map.
+    // The pass has begun, and every rank has switched to the map.
     return 'armed';
   }
   const result = await revokeChange(ranks, ranks.all, arming);
@@ -242,12 +254,13 @@
 }
 
 /**
- * Disarms ranks, and has them prepare the map in force under a newer version:
- * an order to arm them that is still under way is refused from then on.
+ * Disarms ranks and has them prepare the current map under a newer version, so
+ * that arm orders still in flight are refused. Returns 'refused' if the current
+ * map is not known.
  */
 async function revokeChange(
   ranks: Ranks,
-  places: readonly number[],
+  rankNumbers: readonly number[],
   {epoch, version, former}: Pick<Arming, 'epoch' | 'version' | 'former'>,
 ): Promise<OrderResult> {
   if (former === undefined) {
@@ -263,22 +276,21 @@
     expectedMs: 0,
     patienceMs: REVOKE_COPY_TIMEOUT_MS,
   };
-  let open = [...places];
+  let pending = [...rankNumbers];
   for (let round = 0; round < MAX_ARM_ROUNDS; round += 1) {
-    const disarmed = await ranks.order(open, disarm);
-    const prepared = await ranks.order(open, prepare);
+    const disarmed = await ranks.order(pending, disarm);
+    const prepared = await ranks.order(pending, prepare);
     if ([...disarmed, ...prepared].includes('deposed')) {
       return 'deposed';
     }
-    open = open.filter((_, at) => prepared[at] !== 'done');
-    if (open.length === 0) {
+    pending = pending.filter((_, at) => prepared[at] !== 'done');
+    if (pending.length === 0) {
       return 'done';
     }
   }
   return 'no-answer';
 }
 
-/** Where and how far ahead to hold a group. */
 interface HoldRequest {
   readonly own: number;
   readonly holder: number;
@@ -288,29 +300,30 @@
 }
 
 /**
- * Holds the group before a pass that lies so far ahead that the ranks should
- * be armed by then, and the group need not wait.
+ * Holds the group before a pass far enough ahead for all ranks to be armed by
+ * then, so that the group does not wait. Returns that pass; undefined if the
+ * group is not known to be held.
  */
 async function holdPass(
   ranks: Ranks,
   {own, holder, helper, epoch, passesAhead}: HoldRequest,
-  trace: ChangerState,
+  changerState: ChangerState,
 ): Promise<number | undefined> {
-  for (let tries = 0; tries < MAX_HOLD_ATTEMPTS; tries += 1) {
+  for (let attempt = 0; attempt < MAX_HOLD_ATTEMPTS; attempt += 1) {
     const [state] = await ranks.readStates([own]);
     if (state === undefined) {
       return undefined;
     }
     const next = state.step + 1 + passesAhead();
-    const step = Math.max(next, trace.lastUsedStep + 1);
-    trace.lastUsedStep = step;
+    const step = Math.max(next, changerState.lastUsedStep + 1);
+    changerState.lastUsedStep = step;
     const order: Order = {kind: 'hold', epoch, step};
     const result = await ranks.orderThrough(helper, holder, order);
     if (result === 'done') {
       return step;
     }
     if (result !== 'refused') {
-      // It may be held all the same, or will be.
+      // The order may have been carried out, or may be later.
       await ranks.orderPast([holder], {kind: 'release', epoch, step});
       return undefined;
     }
@@ -319,9 +332,9 @@
 }
 
 /**
- * Finishes what an earlier planner left: a held group whose ranks may be
- * armed in part. Readings are by rank, under the new term, and tell the map
- * in force.
+ * Completes or aborts the change that an earlier planner left behind: the group
+ * may be held and some ranks armed. `readings` has one entry per rank in rank
+ * order, read under the new term and with the experts held.
  */
 export async function finishChange(
   ranks: Ranks,
@@ -345,7 +358,7 @@
   log.event('mapChangeRecovered', {version, step, armed: armed.length});
   const holders = holdersOf(states, step);
   if (holders.length === 0) {
-    // Armed in part and not held: hold it before anything else.
+    // The group must not reach the pass with only some ranks armed.
     const holder = own === 0 ? states.length - 1 : 0;
     const hold: Order = {kind: 'hold', epoch, step};
     const [result] = await ranks.orderPast([holder], hold);
@@ -354,24 +367,30 @@
     }
     holders.push(holder);
   }
-  const others = ranks.all.filter(place => place !== own);
+  const others = ranks.all.filter(rank => rank !== own);
   const helper =
-    others.find(place => !holders.includes(place)) ?? others[0] ?? own;
+    others.find(rank => !holders.includes(rank)) ?? others[0] ?? own;
   const former = mapInForce(readings);
   const arming = {epoch, version, step, own, helper, former};
-  const before = new Set(
+  const alreadyArmed = new Set(
     states.flatMap(({armed: at, rank}) => (at === null ? [] : [rank])),
   );
-  const end = await armAndRelease(ranks, arming, holders, log, before);
-  if (end === 'armed') {
+  const outcome = await armAndRelease(
+    ranks,
+    arming,
+    holders,
+    log,
+    alreadyArmed,
+  );
+  if (outcome === 'armed') {
     await releaseAll(ranks, states);
   }
-  return end;
+  return outcome;
 }
 
 /**
- * A group is held and none of its ranks is armed. Nobody arms them any more
- * but orders that are still under way; those are made void.
+ * Aborts a change that holds the group with no rank armed. The change is
+ * revoked unless every sidecar reports that it has no arm order in flight.
  */
 async function abortUnarmed(
   ranks: Ranks,
@@ -398,10 +417,10 @@
 }
 
 /**
- * Releases a hold of a change that ended before anything was armed: the order
- * to hold got no answer, and was carried out after the order to release. True
- * where the readings show nothing else, so that the planner that gave both
- * may go on. Nobody else may judge so.
+ * Releases a hold order that got no answer and took effect after its release.
+ * Returns false, and releases nothing, if `readings` show a rank armed or
+ * another pass held. Only for the planner that gave both orders: it knows that no rank was
+ * to be armed for `step`.
  */
 export async function releaseLateHold(
   ranks: Ranks,
@@ -418,7 +437,7 @@
   return isLate;
 }
 
-/** The map in force, where the readings tell it. */
+/** The map in force; undefined unless all readings have the same version. */
 export function mapInForce(
   readings: readonly RankReading[],
 ): VersionedMap | undefined {
@@ -437,21 +456,20 @@
   return {version: first.version, map};
 }
 
-/** What came of a change whose planner is silent. */
 export type OrphanOutcome =
   | 'nothing-held'
-  /** Every rank is armed, the silent one too, and the group goes on. */
+  /** Every rank, the silent one included, is armed; the group is released. */
   | 'armed'
-  /** No rank was armed, and the group goes on. */
+  /** No rank was armed, and the group is released. */
   | 'backed-out'
-  /** The silent rank may or may not be armed. */
+  /** Some ranks may be armed and others not; the group stays held. */
   | 'unknown';
 
 /**
- * Ends a change whose planner is silent together with its own rank, the only
- * one that is not among the readings. That rank is armed by the sidecar of
- * another and before any other; so the others know what became of it. Sidecars
- * that answered obey the new planner, and won't arm it any more.
+ * Completes or aborts a change whose planner and its rank `silent` do not
+ * answer; `readings` has every other rank. The silent rank was armed first and
+ * by another rank's sidecar, so the readings show whether it was. Sidecars that
+ * answered accept the new term and no longer arm it for the old planner.
  */
 export async function resolveOrphaned(
   ranks: Ranks,
@@ -467,28 +485,28 @@
   }
   const step = Math.min(...held);
   const armed = states.flatMap(state => state.armed ?? []);
-  const given = readings.flatMap(({gave}) =>
+  const givenArms = readings.flatMap(({gave}) =>
     gave?.epoch === epoch && gave.rank === silent && gave.step === step
       ? [gave]
       : [],
   );
-  const confirmed = given.find(one => one.isConfirmed);
+  const confirmed = givenArms.find(one => one.isConfirmed);
   if (confirmed !== undefined) {
     const {version} = confirmed;
     const order: Order = {kind: 'arm', epoch, version, step};
-    const open = states.flatMap(({armed: at, rank}) =>
+    const unarmed = states.flatMap(({armed: at, rank}) =>
       at === null ? [rank] : [],
     );
-    const ends = await ranks.orderPast(open, order);
+    const results = await ranks.orderPast(unarmed, order);
     log.event('mapChangeRecovered', {version, step, silent});
-    if (ends.some(end => end !== 'done')) {
+    if (results.some(result => result !== 'done')) {
       return 'unknown';
     }
     await releaseAll(ranks, states);
     return 'armed';
   }
   const isCertain = readings.every(one => one.gave !== undefined);
-  if (armed.length > 0 || given.length > 0 || !isCertain) {
+  if (armed.length > 0 || givenArms.length > 0 || !isCertain) {
     return 'unknown';
   }
   log.event('mapChangeAborted', {step, silent});
@@ -500,7 +518,6 @@
   return states.flatMap((state, at) => (state.held === step ? [at] : []));
 }
 
-/** Releases every hold that the states show. */
 async function releaseAll(
   ranks: Ranks,
   states: readonly RankState[],
