--- a/src/experts/change.ts
+++ b/src/experts/change.ts
@@ -419,8 +419,8 @@
 /**
  * Releases a hold order that got no answer and took effect after its release.
  * Returns false, and releases nothing, if `readings` show a rank armed or
- * another pass held. Only for the planner that gave both orders: it knows that no rank was
- * to be armed for `step`.
+ * another pass held. Only for the planner that gave both orders, which knows
+ * that no rank was to be armed for `step`.
  */
 export async function releaseLateHold(
   ranks: Ranks,
--- a/src/experts/packing.ts
+++ b/src/experts/packing.ts
@@ -1,31 +1,29 @@
 /**
- * Expert maps and counters' growth in few bytes, for calls between sidecars:
- * links beside the ranks are narrow. Base64 of deflated binary forms.
+ * Compact encoding of expert maps and of counter growth for calls between
+ * sidecars, whose links have little bandwidth: Base64 of deflated binary data.
+ * Packing a map throws RangeError for a number above 65 535.
  */
 import * as zlib from 'node:zlib';
 import type {ExpertMap, Growth} from './types';
 
-/** Highest number of one byte. */
 const MAX_BYTE = 255;
 const WIDE_NUMBER_BYTES = 2;
-/** A packed map or growth is never larger than this, in bytes. */
+/** Limit on inflated data; larger input fails to unpack. */
 const MAX_INFLATED_BYTES = 8 * 1024 * 1024;
 
-/** Which experts a set may have, and how many ranks hold them. */
 export interface MapShape {
   readonly sets: number;
   readonly ranks: number;
   readonly experts: number;
 }
 
-/** Experts of one set that one rank holds. */
 interface Cell {
   readonly set: number;
   readonly rank: number;
   readonly experts: readonly number[];
 }
 
-/** The map that a group starts with: experts dealt out in turn. */
+/** The map that a group starts with: experts assigned to ranks round-robin. */
 export function initialMap({sets, ranks, experts}: MapShape): number[][][] {
   return Array.from({length: sets}, () => {
     const held: number[][] = Array.from({length: ranks}, () => []);
@@ -36,7 +34,7 @@
   });
 }
 
-/** The shape of a map in which every expert stands somewhere. */
+/** The shape of a map in which every expert has a holder. */
 export function shapeOf(map: ExpertMap): MapShape {
   const highest = map[0]?.flat().reduce((most, one) => Math.max(most, one), -1);
   const ranks = map[0]?.length ?? 0;
@@ -44,18 +42,17 @@
 }
 
 /**
- * A map as what is different in it from `base`, another one of the same shape:
- * sets, ranks and experts; then for each rank and set that differs the two,
- * the number of its experts and the experts themselves: a change moves few of a
- * large group's, and links are narrow.
+ * Encodes a map as its differences from `base`, a map of the same shape: the
+ * numbers of sets, ranks and experts, then for each cell that differs its set,
+ * its rank, the number of its experts and the experts.
  */
 export function packMap(map: ExpertMap, base: ExpertMap): string {
   const {sets, ranks, experts} = shapeOf(map);
   const numbers = [sets, ranks, experts];
   map.forEach((held, set) =>
     held.forEach((one, rank) => {
-      const before = base[set]?.[rank];
-      if (before === undefined || !isEqual(one, before)) {
+      const baseExperts = base[set]?.[rank];
+      if (baseExperts === undefined || !isEqual(one, baseExperts)) {
         numbers.push(set, rank, one.length, ...one);
       }
     }),
@@ -63,7 +60,7 @@
   return deflate(packNumbers(numbers));
 }
 
-/** The shape of a packed map; undefined where the text is none. */
+/** The shape of a packed map; undefined if the text cannot be unpacked. */
 export function readShape(text: string): MapShape | undefined {
   const [sets, ranks, experts] = unpackNumbers(text) ?? [];
   return sets === undefined || ranks === undefined || experts === undefined
@@ -71,7 +68,7 @@
     : {sets, ranks, experts};
 }
 
-/** Undefined where the text is no map packed against one of such a shape. */
+/** Undefined if the text is not a map packed against one of the shape of `base`. */
 export function unpackMap(
   text: string,
   base: ExpertMap,
@@ -97,9 +94,9 @@
   return map;
 }
 
-/** Sets, ranks and experts come first. */
+/** Numbers of sets, ranks and experts at the start of a packed map. */
 const SHAPE_LENGTH = 3;
-/** Set, rank and number of experts, before the experts of a cell. */
+/** Set, rank and number of experts before the experts of a cell. */
 const CELL_HEADER_LENGTH = 3;
 
 function readCell(numbers: readonly number[], at: number): Cell | undefined {
@@ -118,7 +115,7 @@
   );
 }
 
-/** The width of a number in bytes, then the numbers. */
+/** One byte with the bytes per number, then the numbers in little-endian order. */
 function packNumbers(numbers: readonly number[]): Buffer {
   const isNarrow = numbers.every(number => number <= MAX_BYTE);
   const width = isNarrow ? 1 : WIDE_NUMBER_BYTES;
@@ -146,7 +143,7 @@
   return zlib.deflateRawSync(bytes).toString('base64');
 }
 
-/** Undefined where the text holds nothing that was deflated. */
+/** Undefined if the text is not deflated data within MAX_INFLATED_BYTES. */
 function inflate(text: string): Buffer | undefined {
   try {
     const bytes = Buffer.from(text, 'base64');
@@ -156,14 +153,14 @@
   }
 }
 
-/** Bytes that a packed growth should take at most; some share a narrow link. */
+/** Target size of a packed growth, not enforced. */
 const TARGET_GROWTH_BYTES = 2_200;
 const BITS_PER_BYTE = 8;
 
 /**
- * Steps that a growth of so many experts is told in, so that it keeps to its
- * bytes. A step takes about a bit less than it seems to, since most experts are
- * asked for far less than the first.
+ * Quantization steps per value for a growth of `length` values to stay near the
+ * target size. One bit more than fits is used, since skewed demand leaves most
+ * values small and deflate saves about that much.
  */
 function quantizationSteps(length: number): number {
   const bits = Math.floor((TARGET_GROWTH_BYTES * BITS_PER_BYTE) / length) + 1;
@@ -171,17 +168,18 @@
 }
 
 /**
- * Growth by expert in one byte each, which holds the square root: demand is so
- * uneven that steps of one size would lose the many experts that are asked for
- * little.
+ * Growth by expert, quantized to one byte each on a square-root scale, since
+ * linear steps would lose the many experts with little demand.
  */
 export interface PackedGrowth {
+  /** Growth of the expert with the most. */
   readonly largest: number;
+  /** Byte value that stands for `largest`. */
   readonly steps: number;
+  /** Base64 of the deflated bytes. */
   readonly bytes: string;
 }
 
-/** Growth in few bytes: see `PackedGrowth`. */
 export function packGrowth(growth: Growth): PackedGrowth {
   let largest = 0;
   for (let at = 0; at < growth.length; at += 1) {
@@ -196,14 +194,14 @@
   return {largest, steps, bytes: deflate(bytes)};
 }
 
-/** Undefined where nothing was packed. */
+/** Undefined if the bytes are not deflated data. */
 export function unpackGrowth(packed: PackedGrowth): Float64Array | undefined {
   const {largest, steps} = packed;
   const bytes = inflate(packed.bytes);
   return bytes && Float64Array.from(bytes, one => (one / steps) ** 2 * largest);
 }
 
-/** Adds `growth` to `sum`; a sum of another length is replaced. */
+/** Adds `growth` to `sum` in place; if lengths differ, returns a copy of `growth`. */
 export function addGrowth(
   sum: Float64Array | undefined,
   growth: Growth,
--- a/src/experts/plan-types.ts
+++ b/src/experts/plan-types.ts
@@ -1,19 +1,19 @@
-/** What plans of expert maps start from. */
+/** Input types for planning expert maps. */
 
-/** Tokens a second, or any one unit, by set and expert. */
+/** By set, then by expert: tokens per second, or any other single unit. */
 export type Demand = readonly Float64Array[];
 
-/** By rank: how many times as long as it should its work takes. */
+/** By rank: factor by which its work takes longer than normal; 1 is normal. */
 export type Slowness = readonly number[];
 
-/** Bounds of one change. */
+/** Limits of one map change. */
 export interface PlanLimits {
-  /** Experts that a rank holds in a set, at most. */
+  /** Maximum experts that a rank holds in a set. */
   readonly places: number;
-  /** Experts new to a rank in a set, at most. */
+  /** Maximum experts new to a rank in a set. */
   readonly spare: number;
-  /** Experts new to a rank over all sets, at most: copies take turns. */
+  /** Maximum experts new to a rank over all sets. */
   readonly copiesPerRank: number;
-  /** Least relief that a copy must bring, in shares of the mean load. */
+  /** Minimum relief by a copy in its set, in multiples of the mean load. */
   readonly minRelief: number;
 }
--- a/src/experts/plan.ts
+++ b/src/experts/plan.ts
@@ -1,26 +1,26 @@
 /**
- * Planning an expert map for the demand of the moment, under what one change
- * may bring to a rank. Pure.
+ * Plans the next expert map of a group for its recent demand, within the limits
+ * of one map change. Pure.
  */
 import type {Demand, PlanLimits, Slowness} from './plan-types';
-import * as setBoard from './set-search';
-import * as setPacking from './set-placement';
+import * as setSearch from './set-search';
+import * as setPlacement from './set-placement';
 import type {ExpertMap} from './types';
 
 export interface MapPlan {
   readonly map: ExpertMap;
-  /** Experts that ranks have to copy. */
+  /** Copies of experts over all ranks and sets. */
   readonly copies: number;
-  /** Of them, at the rank with the most. */
+  /** Copies at the rank with the most. */
   readonly maxCopiesPerRank: number;
-  /** Most loaded rank over the mean, averaged over sets. */
+  /** See `imbalance`. */
   readonly imbalanceBefore: number;
   readonly imbalanceAfter: number;
 }
 
 /**
- * Most loaded rank over the mean, averaged over sets; 1 is even. A slow rank
- * counts as if it had more load, by its slowness.
+ * Load of the most loaded rank divided by the mean load, averaged over sets; 1
+ * is balanced. A rank's load is multiplied by its slowness.
  */
 export function imbalance(
   map: ExpertMap,
@@ -32,17 +32,13 @@
   );
 }
 
-/**
- * Where packing leaves ranks as even as this, single copies are not searched
- * for, which takes many times as long.
- */
+/** Imbalance below which the much slower search for single copies is skipped. */
 const SKIP_SEARCH_IMBALANCE = 1.3;
 
 /**
- * Plans a map; undefined where no change is worth its copies. Whole sets are
- * packed, which is quick and gets far where a change may bring much. Where it
- * may bring little, copies are chosen one by one, each the one that relieves
- * most, and the better plan of the two counts.
+ * Plans a map; undefined if no change is worth its copies. Placing whole sets
+ * anew is fast and works well if a change may make many copies. Under tighter
+ * limits, copies are also chosen greedily one by one, and the better plan wins.
  */
 export function planMap(
   map: ExpertMap,
@@ -50,22 +46,21 @@
   slowness: Slowness,
   limits: PlanLimits,
 ): MapPlan | undefined {
-  const task: PlanInput = {map, demand, slowness, limits};
-  const worth = (plan: MapPlan) =>
+  const input: PlanInput = {map, demand, slowness, limits};
+  const netGain = (plan: MapPlan) =>
     plan.imbalanceBefore -
     plan.imbalanceAfter -
     (plan.copies * limits.minRelief) / map.length;
   const better = (a: MapPlan | undefined, b: MapPlan | undefined) =>
-    a === undefined || (b !== undefined && worth(b) > worth(a)) ? b : a;
-  const packed = planByPlacement(task);
+    a === undefined || (b !== undefined && netGain(b) > netGain(a)) ? b : a;
+  const placed = planByPlacement(input);
   const best =
-    packed !== undefined && packed.imbalanceAfter < SKIP_SEARCH_IMBALANCE
-      ? packed
-      : better(planByCopies(task), packed);
-  return best !== undefined && worth(best) > 0 ? best : undefined;
+    placed !== undefined && placed.imbalanceAfter < SKIP_SEARCH_IMBALANCE
+      ? placed
+      : better(planByCopies(input), placed);
+  return best !== undefined && netGain(best) > 0 ? best : undefined;
 }
 
-/** What a plan starts from. */
 interface PlanInput {
   readonly map: ExpertMap;
   readonly demand: Demand;
@@ -73,31 +68,32 @@
   readonly limits: PlanLimits;
 }
 
-function planByCopies(task: PlanInput): MapPlan | undefined {
-  const {map, demand, slowness, limits} = task;
-  const boards = map.map(
-    (held, at) => new setBoard.SetSearch(held, demand[at]!, slowness),
+/** Repeatedly applies the move with the greatest relief in any set. */
+function planByCopies(input: PlanInput): MapPlan | undefined {
+  const {map, demand, slowness, limits} = input;
+  const searches = map.map(
+    (held, at) => new setSearch.SetSearch(held, demand[at]!, slowness),
   );
-  const before = meanOf(boards.map(board => board.imbalance));
+  const imbalanceBefore = meanOf(searches.map(search => search.imbalance));
   const copied = new Array<number>(map[0]?.length ?? 0).fill(0);
-  const best: (setBoard.Move | undefined)[] = boards.map(() => undefined);
-  const isStale = boards.map(() => true);
+  const best: (setSearch.Move | undefined)[] = searches.map(() => undefined);
+  const isStale = searches.map(() => true);
   let copies = 0;
   for (;;) {
-    boards.forEach((board, at) => {
+    searches.forEach((search, at) => {
       if (isStale[at] || !isWithinLimits(best[at], copied, limits)) {
-        best[at] = board.bestMove(limits, copied);
+        best[at] = search.bestMove(limits, copied);
         isStale[at] = false;
       }
     });
     const at = indexOfBest(best);
-    const action = at < 0 ? undefined : best[at];
-    if (action === undefined || action.relief < limits.minRelief) {
+    const move = at < 0 ? undefined : best[at];
+    if (move === undefined || move.relief < limits.minRelief) {
       break;
     }
-    boards[at]!.apply(action);
+    searches[at]!.apply(move);
     isStale[at] = true;
-    action.copiesTo.forEach(rank => {
+    move.copiesTo.forEach(rank => {
       copied[rank]! += 1;
       copies += 1;
     });
@@ -106,55 +102,55 @@
     return undefined;
   }
   return {
-    map: boards.map(board => board.sorted),
+    map: searches.map(search => search.sorted),
     copies,
     maxCopiesPerRank: Math.max(...copied),
-    imbalanceBefore: before,
-    imbalanceAfter: meanOf(boards.map(board => board.imbalance)),
+    imbalanceBefore,
+    imbalanceAfter: meanOf(searches.map(search => search.imbalance)),
   };
 }
 
-/** Packs the sets, those with the most loaded ranks first. */
-function planByPlacement(task: PlanInput): MapPlan | undefined {
-  const {map, demand, slowness, limits} = task;
+/** Places whole sets anew, the least balanced first. */
+function planByPlacement(input: PlanInput): MapPlan | undefined {
+  const {map, demand, slowness, limits} = input;
   const imbalances = map.map((held, at) =>
     setImbalance(held, demand[at]!, slowness),
   );
   const order = [...map.keys()].sort((a, b) => imbalances[b]! - imbalances[a]!);
   const copied = new Array<number>(map[0]?.length ?? 0).fill(0);
-  const packed: (readonly (readonly number[])[])[] = [...map];
+  const placed: (readonly (readonly number[])[])[] = [...map];
   const after = [...imbalances];
   for (const at of order) {
     const held = map[at]!;
-    const room = copied.map(count =>
+    const maxNew = copied.map(count =>
       Math.min(limits.spare, limits.copiesPerRank - count),
     );
-    const target = setPacking.placeExperts({
+    const newHeld = setPlacement.placeExperts({
       held,
       demand: demand[at]!,
       slowness,
       places: limits.places,
-      maxNew: room,
+      maxNew,
     });
-    if (target === undefined) {
+    if (newHeld === undefined) {
       continue;
     }
-    const brought = target.map((experts, rank) =>
+    const newCounts = newHeld.map((experts, rank) =>
       countNew(experts, held[rank]!),
     );
-    const total = brought.reduce((sum, count) => sum + count, 0);
-    const then = setImbalance(target, demand[at]!, slowness);
-    if (imbalances[at]! - then > total * limits.minRelief) {
-      packed[at] = target.map(setBoard.sortedExperts);
-      after[at] = then;
-      brought.forEach((count, rank) => (copied[rank]! += count));
+    const total = newCounts.reduce((sum, count) => sum + count, 0);
+    const newImbalance = setImbalance(newHeld, demand[at]!, slowness);
+    if (imbalances[at]! - newImbalance > total * limits.minRelief) {
+      placed[at] = newHeld.map(setSearch.sortedExperts);
+      after[at] = newImbalance;
+      newCounts.forEach((count, rank) => (copied[rank]! += count));
     }
   }
   const copies = copied.reduce((sum, count) => sum + count, 0);
   return copies === 0
     ? undefined
     : {
-        map: packed,
+        map: placed,
         copies,
         maxCopiesPerRank: Math.max(...copied),
         imbalanceBefore: meanOf(imbalances),
@@ -166,7 +162,6 @@
   return experts.filter(expert => !held.includes(expert)).length;
 }
 
-/** Most loaded rank over the mean, of one set. */
 function setImbalance(
   held: readonly (readonly number[])[],
   demand: Float64Array,
@@ -174,33 +169,33 @@
 ): number {
   const holders = new Int32Array(demand.length);
   held.forEach(experts => experts.forEach(one => (holders[one]! += 1)));
-  let most = 0;
+  let maxLoad = 0;
   held.forEach((experts, rank) => {
     const load = experts.reduce(
       (sum, one) => sum + demand[one]! / holders[one]!,
       0,
     );
-    most = Math.max(most, load * slowness[rank]!);
+    maxLoad = Math.max(maxLoad, load * slowness[rank]!);
   });
   const total = demand.reduce((sum, asked) => sum + asked, 0);
-  return most / (total / held.length || 1);
+  return maxLoad / (total / held.length || 1);
 }
 
 function isWithinLimits(
-  action: setBoard.Move | undefined,
+  move: setSearch.Move | undefined,
   copied: readonly number[],
   limits: PlanLimits,
 ): boolean {
   return (
-    action === undefined ||
-    action.copiesTo.every(rank => copied[rank]! < limits.copiesPerRank)
+    move === undefined ||
+    move.copiesTo.every(rank => copied[rank]! < limits.copiesPerRank)
   );
 }
 
-function indexOfBest(actions: readonly (setBoard.Move | undefined)[]): number {
+function indexOfBest(moves: readonly (setSearch.Move | undefined)[]): number {
   let best = -1;
-  actions.forEach((action, at) => {
-    if (action !== undefined && action.relief > (actions[best]?.relief ?? 0)) {
+  moves.forEach((move, at) => {
+    if (move !== undefined && move.relief > (moves[best]?.relief ?? 0)) {
       best = at;
     }
   });
--- a/src/experts/set-placement.ts
+++ b/src/experts/set-placement.ts
@@ -1,56 +1,57 @@
 /**
- * Packing the experts of one set of layers onto ranks from what they hold, so
- * that the ranks are even and few experts have to be copied. Pure.
+ * Places the experts of one set of layers on ranks, balancing load with few
+ * copies. Pure.
  *
- * Experts that are asked for so much that one rank could not bear them get
- * several holders. The largest shares are placed first, on ranks that hold the
- * expert already where these have room, or else on the least loaded ranks with
- * a place that nobody else needs. What is asked for little stays where it is.
+ * An expert with more demand than one rank should carry gets several holders.
+ * Shares are placed in descending order: on current holders that have room, or
+ * else on the least loaded ranks with an unreserved place. The search is greedy
+ * and may find no placement although one exists.
  */
 
-/** What one set's packing starts from. */
 export interface PlacementInput {
   /** By rank: the experts that it holds. */
   readonly held: readonly (readonly number[])[];
-  /** By expert, in any one unit. */
+  /** By expert, in any unit. */
   readonly demand: Float64Array;
-  /** By rank: how many times as long as it should its work takes. */
+  /** By rank: factor by which its work takes longer than normal; 1 is normal. */
   readonly slowness: readonly number[];
-  /** Experts that a rank holds at most. */
+  /** Maximum experts that a rank holds. */
   readonly places: number;
-  /** By rank: experts that may be new to it. */
+  /** By rank: maximum experts that are new to it. */
   readonly maxNew: readonly number[];
 }
 
+/** Maximum load of an expert at one holder, as a multiple of the mean load. */
+const MAX_SHARE = 0.9;
 /**
- * Largest share of an expert at one of its holders, and load up to which a rank
- * keeps what it holds, in loads of a rank that has its fair part: evener ranks cost
- * more copies, and fewer copies make each pass longer.
+ * Load up to which a rank keeps the experts it holds, as a multiple of its fair
+ * load. Lower values balance better but need more copies.
  */
-const MAX_SHARE = 0.9;
 const MAX_KEPT_LOAD = 1.2;
-/** A move must make its expert's rank this much emptier. */
+/** Ratio of relative loads, current holder to new rank, above which an expert moves. */
 const MIN_MOVE_RATIO = 1.04;
 
-/** By rank: the experts that it should hold; undefined where they won't fit. */
-export function placeExperts(task: PlacementInput): number[][] | undefined {
-  return new Placement(task).placeAll();
+/** By rank: the experts that it should hold; undefined if no placement is found. */
+export function placeExperts(input: PlacementInput): number[][] | undefined {
+  return new Placement(input).placeAll();
 }
 
 class Placement {
   private readonly ranks: number;
   private readonly holders: number[][];
+  /** By expert: how many ranks should hold it. */
   private readonly holderCounts: number[];
   private readonly placed: number[][];
   private readonly loads: Float64Array;
-  /** By rank: experts that have no other holder and are not placed yet. */
+  /** By rank: places kept for experts that it alone holds and are not yet placed. */
   private readonly reserved: Int32Array;
+  /** By rank: experts placed that are new to it. */
   private readonly addedCounts: Int32Array;
-  /** Load of a rank that has its fair part, by rank. */
+  /** By rank: its part of the total demand, in proportion to its speed. */
   private readonly fairLoads: Float64Array;
 
-  constructor(private readonly task: PlacementInput) {
-    const {held, demand, slowness} = task;
+  constructor(private readonly input: PlacementInput) {
+    const {held, demand, slowness} = input;
     this.ranks = held.length;
     this.holders = Array.from({length: demand.length}, () => []);
     held.forEach((experts, rank) =>
@@ -59,8 +60,12 @@
     const total = demand.reduce((sum, one) => sum + one, 0);
     const speed = slowness.reduce((sum, slow) => sum + 1 / slow, 0);
     this.fairLoads = Float64Array.from(slowness, slow => total / speed / slow);
-    const usual = total / this.ranks;
-    this.holderCounts = holderCountsFor(demand, usual * MAX_SHARE, this.ranks);
+    const meanLoad = total / this.ranks;
+    this.holderCounts = holderCountsFor(
+      demand,
+      meanLoad * MAX_SHARE,
+      this.ranks,
+    );
     this.placed = held.map(() => []);
     this.loads = new Float64Array(this.ranks);
     this.reserved = new Int32Array(this.ranks);
@@ -68,7 +73,7 @@
   }
 
   placeAll(): number[][] | undefined {
-    const {demand, places} = this.task;
+    const {demand, places} = this.input;
     const sum = this.holderCounts.reduce((total, count) => total + count, 0);
     if (sum > places * this.ranks) {
       return undefined;
@@ -80,7 +85,7 @@
     return order.every(expert => this.place(expert)) ? this.placed : undefined;
   }
 
-  /** Experts with one holder keep their place until they are placed. */
+  /** Reserves the current place of each expert with a single holder. */
   private reserve(): void {
     this.holders.forEach((ranks, expert) => {
       const [only] = ranks;
@@ -92,7 +97,7 @@
   }
 
   private shareOf(expert: number): number {
-    return this.task.demand[expert]! / this.holderCounts[expert]!;
+    return this.input.demand[expert]! / this.holderCounts[expert]!;
   }
 
   private place(expert: number): boolean {
@@ -121,7 +126,7 @@
     return true;
   }
 
-  /** Holders that can keep an expert, the least loaded first. */
+  /** Current holders with room for an expert's share, least loaded first. */
   private holdersToKeep(expert: number, share: number): number[] {
     return this.holders[expert]!.filter(
       rank =>
@@ -132,7 +137,7 @@
       .slice(0, this.holderCounts[expert]);
   }
 
-  /** The rank that a new holder would fill least, without anybody's place. */
+  /** The least loaded rank that may add an expert or, if nearly as good, a holder. */
   private bestHolder(expert: number, share: number): number | undefined {
     let best: number | undefined;
     let least = Infinity;
@@ -146,7 +151,7 @@
         best = rank;
       }
     }
-    // Moving an expert is worth nothing where its holder is no fuller.
+    // Staying at a current holder costs no copy.
     const own = this.holders[expert]!.filter(
       rank => this.hasFreePlace(rank) && !this.placed[rank]!.includes(expert),
     );
@@ -163,14 +168,14 @@
   private canAdd(expert: number, rank: number): boolean {
     const taken = this.placed[rank]!.length + this.reserved[rank]!;
     return (
-      taken < this.task.places &&
-      this.addedCounts[rank]! < this.task.maxNew[rank]! &&
+      taken < this.input.places &&
+      this.addedCounts[rank]! < this.input.maxNew[rank]! &&
       !this.placed[rank]!.includes(expert) &&
-      !this.task.held[rank]!.includes(expert)
+      !this.input.held[rank]!.includes(expert)
     );
   }
 
-  /** Where an expert must go somewhere: its holders first. */
+  /** The least loaded current holder with a free place, reserved or not. */
   private fallbackHolder(expert: number): number | undefined {
     const isFree = (rank: number) =>
       this.hasFreePlace(rank) && !this.placed[rank]!.includes(expert);
@@ -184,7 +189,7 @@
   }
 
   private hasFreePlace(rank: number): boolean {
-    return this.placed[rank]!.length < this.task.places;
+    return this.placed[rank]!.length < this.input.places;
   }
 
   private relativeLoad(rank: number): number {
@@ -197,13 +202,12 @@
   }
 }
 
-/** By expert: how many ranks should hold it. */
 function holderCountsFor(
   demand: Float64Array,
-  largest: number,
+  maxShare: number,
   ranks: number,
 ): number[] {
   return Array.from(demand, asked =>
-    Math.min(Math.max(Math.ceil(asked / largest), 1), ranks),
+    Math.min(Math.max(Math.ceil(asked / maxShare), 1), ranks),
   );
 }
--- a/src/experts/set-search.ts
+++ b/src/experts/set-search.ts
@@ -1,12 +1,12 @@
 /**
- * One set's experts on ranks, and the single copies that relieve the most
- * loaded of them. Pure.
+ * Greedy search for single copies that relieve the most loaded ranks of one
+ * set of layers, without I/O. Only a few hot and cold ranks are tried at each step.
  */
 import type {PlanLimits, Slowness} from './plan-types';
 
 /**
- * Loads count by their eighth power, so that the most loaded ranks weigh most
- * and ranks just beneath them are not forgotten.
+ * Weight of a load in the sum to be reduced: dominated by the most loaded rank,
+ * while those just below it still count.
  */
 function eighthPower(load: number): number {
   const square = load * load;
@@ -14,42 +14,46 @@
   return fourth * fourth;
 }
 const ROOT_EXPONENT = 1 / 8;
-/** Hot ranks of a set that are tried to be relieved. */
+/** Most loaded ranks of a set that are tried as the source of a move. */
 const HOT_RANKS = 2;
-/** Lightly loaded ranks of a set that are tried as places. */
+/** Least loaded ranks of a set that are tried as the destination of a move. */
 const COLD_RANKS = 5;
 
-/** In rising order, so that equal maps are told alike. */
+/** In ascending order, so that equal maps compare equal. */
 export function sortedExperts(experts: readonly number[]): number[] {
   return [...experts].sort((a, b) => a - b);
 }
 
-/** One change of places within a set. */
+/** A copy of one expert to another rank, with the experts that make way for it. */
 export interface Move {
   readonly expert: number;
   readonly from: number;
   readonly to: number;
-  /** True: the expert stays on `from` too. */
+  /** Whether the expert stays on `from` too. */
   readonly keepsSource: boolean;
-  /** Dropped by `to`, where it has other holders; -1: none. */
+  /** Expert with other holders that `to` drops; -1: none. */
   readonly evicted: number;
-  /** Goes from `to` to `from`; -1: none. */
+  /** Expert that moves from `to` to `from` in exchange; -1: none. */
   readonly swapped: number;
+  /** Ranks that copy an expert, once per copy. */
   readonly copiesTo: readonly number[];
-  /** Fall of the weighted load per copy, in shares of the mean load. */
+  /** Reduction of the loads' 8-norm per copy, in multiples of the mean load. */
   readonly relief: number;
 }
 
-/** One set's places, and the loads that follow from them, by slowness. */
+/** The experts held in one set, and the resulting loads of its ranks. */
 export class SetSearch {
+  /** By rank: the experts that it holds. */
   readonly held: number[][];
   private readonly holders: number[][];
+  /** By rank: demand times slowness. */
   private readonly loads: Float64Array;
+  /** By rank: experts added by moves. */
   private readonly addedCounts: number[];
   private readonly meanLoad: number;
-  /** Sum of weighed loads, a smooth stand-in for the most loaded rank. */
+  /** Sum of the loads' eighth powers, in multiples of the mean load. */
   private powerSum: number;
-  /** What an action would change, for the ranks that it touches. */
+  /** Change of load by a move, for the ranks in `changedRanks`; 0 elsewhere. */
   private readonly loadDeltas: Float64Array;
   private readonly changedRanks: number[] = [];
   private best: Move | undefined;
@@ -87,7 +91,10 @@
     return Math.max(...this.loads) / this.meanLoad;
   }
 
-  /** The action with the greatest relief per copy. */
+  /**
+   * The move with the greatest relief per copy within the limits; undefined if
+   * none relieves. `copied` counts the copies already planned, by rank.
+   */
   bestMove(limits: PlanLimits, copied: readonly number[]): Move | undefined {
     const order = [...this.loads.keys()].sort(
       (a, b) => this.loads[b]! - this.loads[a]!,
@@ -108,31 +115,24 @@
     return this.best;
   }
 
-  apply(action: Move): void {
-    const {
-      expert,
-      from,
-      to,
-      keepsSource: keeps,
-      evicted: drops,
-      swapped: back,
-    } = action;
-    this.computeDeltas(expert, from, to, keeps, drops, back);
+  apply(move: Move): void {
+    const {expert, from, to, keepsSource, evicted, swapped} = move;
+    this.computeDeltas(expert, from, to, keepsSource, evicted, swapped);
     for (const rank of this.changedRanks) {
       this.loads[rank]! += this.loadDeltas[rank]!;
     }
     this.clearDeltas();
     this.powerSum = this.computePowerSum();
     this.add(expert, to);
-    if (!keeps) {
+    if (!keepsSource) {
       this.drop(expert, from);
     }
-    if (drops >= 0) {
-      this.drop(drops, to);
+    if (evicted >= 0) {
+      this.drop(evicted, to);
     }
-    if (back >= 0) {
-      this.drop(back, to);
-      this.add(back, from);
+    if (swapped >= 0) {
+      this.drop(swapped, to);
+      this.add(swapped, from);
     }
   }
 
@@ -142,51 +142,51 @@
     limits: PlanLimits,
     copied: readonly number[],
   ): void {
-    const ours = this.held[from]!;
-    const theirs = this.held[to]!;
-    const hasRoom = theirs.length < limits.places;
-    const dropped = hasRoom ? -1 : this.leastLoadedReplica(to);
-    const maySwap = this.canAdd(from, limits, copied);
-    const leastShare = limits.minRelief * this.meanLoad;
-    for (const expert of ours) {
+    const sourceExperts = this.held[from]!;
+    const destinationExperts = this.held[to]!;
+    const hasRoom = destinationExperts.length < limits.places;
+    const evictable = hasRoom ? -1 : this.leastLoadedReplica(to);
+    const canSwap = this.canAdd(from, limits, copied);
+    const minShare = limits.minRelief * this.meanLoad;
+    for (const expert of sourceExperts) {
       const share = this.shareOf(expert);
-      if (share < leastShare || theirs.includes(expert)) {
+      if (share < minShare || destinationExperts.includes(expert)) {
         continue;
       }
-      if (hasRoom || (dropped >= 0 && dropped !== expert)) {
-        this.evaluate(expert, from, to, true, dropped, -1);
-        this.evaluate(expert, from, to, false, dropped, -1);
+      if (hasRoom || (evictable >= 0 && evictable !== expert)) {
+        this.evaluate(expert, from, to, true, evictable, -1);
+        this.evaluate(expert, from, to, false, evictable, -1);
       }
-      for (const back of maySwap ? theirs : []) {
-        if (this.shareOf(back) < share && !ours.includes(back)) {
-          this.evaluate(expert, from, to, false, -1, back);
+      for (const swapped of canSwap ? destinationExperts : []) {
+        if (this.shareOf(swapped) < share && !sourceExperts.includes(swapped)) {
+          this.evaluate(expert, from, to, false, -1, swapped);
         }
       }
     }
   }
 
-  /** Keeps an action where it relieves more than the best so far. */
+  /** Takes a move as the best one if its relief per copy is higher. */
   private evaluate(
     expert: number,
     from: number,
     to: number,
-    keeps: boolean,
-    drops: number,
-    back: number,
+    keepsSource: boolean,
+    evicted: number,
+    swapped: number,
   ): void {
-    this.computeDeltas(expert, from, to, keeps, drops, back);
-    const copies = back >= 0 ? 2 : 1;
+    this.computeDeltas(expert, from, to, keepsSource, evicted, swapped);
+    const copies = swapped >= 0 ? 2 : 1;
     const relief = this.computeRelief() / copies;
     if (relief > this.bestRelief) {
-      const copiesTo = back >= 0 ? [to, from] : [to];
+      const copiesTo = swapped >= 0 ? [to, from] : [to];
       this.bestRelief = relief;
       this.best = {
         expert,
         from,
         to,
-        keepsSource: keeps,
-        evicted: drops,
-        swapped: back,
+        keepsSource,
+        evicted,
+        swapped,
         copiesTo,
         relief,
       };
@@ -208,7 +208,7 @@
     );
   }
 
-  /** The expert of a rank with other holders and the least load; -1: none. */
+  /** The expert with the smallest share that has other holders; -1: none. */
   private leastLoadedReplica(rank: number): number {
     let best = -1;
     let least = Infinity;
@@ -222,7 +222,7 @@
     return best;
   }
 
-  /** What the change in `delta` relieves, in shares of the mean load. */
+  /** Reduction of the loads' 8-norm by `loadDeltas`, which it clears. */
   private computeRelief(): number {
     let sum = this.powerSum;
     for (const rank of this.changedRanks) {
@@ -235,19 +235,19 @@
     return this.powerSum ** ROOT_EXPONENT - Math.max(sum, 0) ** ROOT_EXPONENT;
   }
 
-  /** Puts into `delta` how an action changes the loads of `touched` ranks. */
+  /** Writes a move's changes of load to `loadDeltas` and `changedRanks`. */
   private computeDeltas(
     expert: number,
     from: number,
     to: number,
-    keeps: boolean,
-    drops: number,
-    back: number,
+    keepsSource: boolean,
+    evicted: number,
+    swapped: number,
   ): void {
     const asked = this.demand[expert]!;
     const holders = this.holders[expert]!;
     const share = asked / holders.length;
-    if (keeps) {
+    if (keepsSource) {
       const after = asked / (holders.length + 1);
       for (const rank of holders) {
         this.addDelta(rank, after - share);
@@ -257,16 +257,16 @@
       this.addDelta(from, -share);
       this.addDelta(to, share);
     }
-    if (drops >= 0) {
-      const others = this.holders[drops]!;
-      const before = this.demand[drops]! / others.length;
-      const after = this.demand[drops]! / (others.length - 1);
+    if (evicted >= 0) {
+      const others = this.holders[evicted]!;
+      const before = this.demand[evicted]! / others.length;
+      const after = this.demand[evicted]! / (others.length - 1);
       for (const rank of others) {
         this.addDelta(rank, rank === to ? -before : after - before);
       }
     }
-    if (back >= 0) {
-      const shared = this.demand[back]! / this.holders[back]!.length;
+    if (swapped >= 0) {
+      const shared = this.demand[swapped]! / this.holders[swapped]!.length;
       this.addDelta(to, -shared);
       this.addDelta(from, shared);
     }
@@ -276,7 +276,7 @@
     if (this.loadDeltas[rank] === 0) {
       this.changedRanks.push(rank);
     }
-    // Never exactly zero again, so that a rank is listed once.
+    // A sum of exactly 0 would list the rank in `changedRanks` twice.
     const weighted = change * this.slowness[rank]!;
     this.loadDeltas[rank] =
       this.loadDeltas[rank]! + weighted || Number.MIN_VALUE;
