--- a/src/experts/change.ts
+++ b/src/experts/change.ts
@@ -100,14 +100,7 @@
   changerState: ChangerState,
   log: Log,
 ): Promise<ChangeOutcome> {
-  const {
-    epoch,
-    version,
-    map,
-    former,
-    expectedMs,
-    copyTimeoutMs: patienceMs,
-  } = change;
+  const {epoch, version, map, former, expectedMs, copyTimeoutMs} = change;
   const prepared = await ranks.order(ranks.all, {
     kind: 'prepare',
     epoch,
@@ -115,7 +108,7 @@
     map,
     base: former,
     expectedMs,
-    patienceMs,
+    patienceMs: copyTimeoutMs,
   });
   if (prepared.includes('deposed')) {
     return 'deposed';
@@ -139,7 +132,7 @@
 }
 
 /** The map version to arm, the pass to arm it for, and who arms whom. */
-interface Arming {
+interface ArmRequest {
   readonly epoch: number;
   readonly version: number;
   readonly step: number;
@@ -156,7 +149,7 @@
  */
 async function armAndRelease(
   ranks: Ranks,
-  arming: Arming,
+  arming: ArmRequest,
   holders: readonly number[],
   log: Log,
   alreadyArmed: ReadonlySet<number> = new Set(),
@@ -210,7 +203,7 @@
  */
 async function abortWithoutHelper(
   ranks: Ranks,
-  arming: Arming,
+  arming: ArmRequest,
   holders: readonly number[],
   log: Log,
 ): Promise<ChangeOutcome> {
@@ -231,7 +224,7 @@
  */
 async function rollBack(
   ranks: Ranks,
-  arming: Arming,
+  arming: ArmRequest,
   holders: readonly number[],
   log: Log,
 ): Promise<ChangeOutcome> {
@@ -261,7 +254,7 @@
 async function revokeChange(
   ranks: Ranks,
   rankNumbers: readonly number[],
-  {epoch, version, former}: Pick<Arming, 'epoch' | 'version' | 'former'>,
+  {epoch, version, former}: Pick<ArmRequest, 'epoch' | 'version' | 'former'>,
 ): Promise<OrderResult> {
   if (former === undefined) {
     return 'refused';
--- a/src/experts/map-changer.ts
+++ b/src/experts/map-changer.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out the map changes of one planner, and learns from each how long
- * arming takes and how fast passes follow each other.
+ * Runs the map changes of one planner and estimates from them how long arming
+ * takes. A planner must not run two changes at once.
  */
 import {Log} from '../observability/log';
 import {Metrics} from '../observability/metrics';
@@ -12,46 +12,43 @@
 import type {MapPlan} from './plan';
 import type {ExpertMap, RankReading, RankState} from './types';
 
-/** Copies may take this much longer than computed. */
+/** The time limit for copying is the estimate times the factor, plus the margin. */
 const COPY_TIMEOUT_FACTOR = 2;
 const COPY_TIMEOUT_MARGIN_MS = 400;
-/** Time that arming is taken to need at first, in milliseconds. */
+/** Estimate of the arming time before the first change. */
 const INITIAL_ARM_MS = 30;
-/** Part of the longest time that still counts at the next change. */
+/** Factor applied to the estimated arming time at each change. */
 const ARM_TIME_DECAY = 0.85;
-/** Arming may take this much longer than it has lately, unnoticed. */
+/** Factor by which arming may exceed its estimate without delaying a pass. */
 const ARM_TIME_MARGIN = 1.2;
-/**
- * Time between looks at the own rank while the map is changed, in
- * milliseconds: a part of a pass. They cost nothing on the own instance.
- */
+/** Interval for polling the own rank during a change; shorter than a pass. */
 const PASS_POLL_INTERVAL_MS = 10;
-/** Low part of a version that tells planners' maps apart. */
+/** Versions below the next multiple are random, to differ between planners. */
 const VERSION_STRIDE = 2 ** 20;
 
-/** What a planner needs of the member that runs it. */
+/** What a planner needs from the group member that runs it. */
 export interface PlannerContext {
-  /** Name for logs. */
+  /** Group name in logs and metrics. */
   readonly group: string;
   /** Undefined until the configuration is known. */
   figures(): ExpertFigures | undefined;
   readonly links: GroupLinks;
-  /** 0 while another process plans. */
+  /** Term of this planner; 0 while this process is not the planner. */
   term(): number;
-  /** The rank beside this process. */
+  /** The rank on this instance. */
   ownRank(): number;
-  /** Its state, read on this instance. */
+  /** Its state, read locally; undefined if unavailable. */
   ownState(): Promise<RankState | undefined>;
-  /** Rank of the planner before this one; undefined: not known. */
+  /** Rank of the previous planner; undefined if unknown. */
   formerRank(): number | undefined;
   onDeposed(): void;
-  /** Called before each look. */
+  /** Called before each reading. */
   onTick(): void;
   readonly log: Log;
   readonly metrics: Metrics;
 }
 
-/** The group as it is before a change. */
+/** The group and its map before a change. */
 export interface MapInForce {
   readonly epoch: number;
   readonly ranks: GroupRanks;
@@ -59,23 +56,21 @@
   readonly map: ExpertMap;
 }
 
-/** What it should change to. */
 export interface NextMap {
   readonly version: number;
   readonly plan: MapPlan;
 }
 
-/** The changes of one planner, one at a time. */
 export class MapChanger {
   readonly passes = new PassClock();
   private armMs = INITIAL_ARM_MS;
   private usedStepEpoch = 0;
   /**
-   * Pass before which the last change may have held the group in vain;
-   * undefined: it ended otherwise.
+   * Pass that the last change tried to hold and may still hold, if it ended as
+   * 'not-held'; otherwise undefined.
    */
   private unconfirmedHoldStep: number | undefined;
-  /** When the last change ended, on the monotonic clock. */
+  /** End of the last change, in milliseconds on the monotonic clock. */
   endedAt = -Infinity;
   private readonly state: mapChange.ChangerState = {
     lastUsedStep: 0,
@@ -85,33 +80,33 @@
   constructor(private readonly context: PlannerContext) {}
 
   /**
-   * A change that somebody else has given up may have left a release under
-   * way; the passes that it may name are not held.
+   * Excludes passes from being held that a late release order of another
+   * planner's aborted change may name.
    */
   skipUsedSteps(readings: readonly RankReading[]): void {
-    const isLeft = readings.some(
+    const hasUnfinished = readings.some(
       ({state}) =>
         state.prepared !== null && state.prepared !== state.mapVersion,
     );
     const {step, epoch} = readings[0]!.state;
     if (epoch !== this.usedStepEpoch) {
-      // Orders of another epoch are refused.
+      // Late orders of another epoch are refused.
       this.usedStepEpoch = epoch;
       this.state.lastUsedStep = 0;
     }
-    const spent = isLeft ? step + MOST_PASSES_AHEAD + 1 : step;
-    this.state.lastUsedStep = Math.max(this.state.lastUsedStep, spent);
+    const lastUsed = hasUnfinished ? step + MOST_PASSES_AHEAD + 1 : step;
+    this.state.lastUsedStep = Math.max(this.state.lastUsedStep, lastUsed);
   }
 
-  /** Changes the map; rejects only where an order was given wrongly. */
+  /** Runs a change, then logs and measures it. */
   async run(
     figures: ExpertFigures,
     known: MapInForce,
     {version, plan}: NextMap,
   ): Promise<mapChange.ChangeOutcome> {
-    const begunAt = performance.now();
+    const startedAt = performance.now();
     const expectedMs = plan.maxCopiesPerRank * figures.copyMs;
-    const stopWatching = this.pollPasses();
+    const stopPolling = this.pollPasses();
     try {
       const own = this.context.ownRank();
       const end = await mapChange.changeMap(
@@ -137,7 +132,7 @@
         this.state,
         this.context.log,
       );
-      const ms = Math.round(performance.now() - begunAt);
+      const ms = Math.round(performance.now() - startedAt);
       this.context.metrics.count('map_changes_total', {end});
       this.context.metrics.time('map_change', this.context.group, 'all', ms);
       this.context.log.event('mapChanged', {
@@ -156,13 +151,13 @@
       return end;
     } finally {
       this.endedAt = performance.now();
-      stopWatching();
+      stopPolling();
     }
   }
 
   /**
-   * Releases a group that the last change holds in vain. False where somebody
-   * else may hold it.
+   * Releases a hold of the last change that took effect late. Returns false if
+   * the hold may be another planner's.
    */
   async releaseLateHold(
     ranks: GroupRanks,
@@ -176,9 +171,9 @@
   }
 
   /**
-   * Follows the own rank closely while the map is changed, so that the group
-   * is held before a pass that has just enough time before it. A map that
-   * takes effect a pass sooner spares the group one of its longest passes.
+   * Polls the own rank during a change, so that the group is held before the
+   * earliest pass that leaves enough time for arming. Returns a function that
+   * stops the polling.
    */
   private pollPasses(): () => void {
     const timer = setInterval(
@@ -204,19 +199,20 @@
   }
 }
 
-/** Two other ranks whose sidecars answer: one to hold, one to help. */
+/** Picks a holder and a helper among the other ranks, preferring reachable ones. */
 function pickRoles(
   ranks: GroupRanks,
   own: number,
 ): {holder: number; helper: number} {
-  const heard = ranks.heard.filter(place => place !== own);
-  const others = heard.length > 1 ? heard : ranks.all.filter(at => at !== own);
+  const heard = ranks.heard.filter(rank => rank !== own);
+  const others =
+    heard.length > 1 ? heard : ranks.all.filter(rank => rank !== own);
   const [holder = own, helper = holder] = random.sample(others, 2);
   return {holder, helper};
 }
 
-/** Higher than all before, and never the same as another planner's. */
+/** A version above `highest` that is unlikely to equal another planner's. */
 export function nextVersion(highest: number): number {
-  const unit = Math.floor(highest / VERSION_STRIDE) + 1;
-  return unit * VERSION_STRIDE + random.below(VERSION_STRIDE);
+  const multiple = Math.floor(highest / VERSION_STRIDE) + 1;
+  return multiple * VERSION_STRIDE + random.below(VERSION_STRIDE);
 }
--- a/src/experts/planner.ts
+++ b/src/experts/planner.ts
@@ -1,7 +1,7 @@
 /**
- * Plans the expert map of one group while this process holds its seat: reads
- * the ranks several times a second, and changes the map where that relieves
- * them by more than it costs.
+ * Plans the expert map of one group while this process is the group's planner:
+ * reads the ranks several times a second and changes the map when the gain
+ * exceeds the cost. Until the group is recovered, it has no view and no plans.
  */
 import type {ExpertFigures} from '../routes/types';
 import * as mapChange from './change';
@@ -13,70 +13,68 @@
 import type {Demand} from './plan-types';
 import type {ExpertMap, GroupView, RankReading, RankState} from './types';
 
-/** Least time between readings of the ranks, in milliseconds. */
+/** Minimum time between readings of the ranks. */
 const MIN_PERIOD_MS = 50;
 /**
- * Time between looks whether a pass has begun, in milliseconds: until then the
- * ranks have counted nothing new. These looks cost nothing on the own instance,
- * a reading costs each sidecar of the group three calls.
+ * Interval for polling the own rank for a new pass. Counters do not change
+ * before one, and a reading costs each sidecar of the group three calls.
  */
 const PASS_POLL_INTERVAL_MS = 15;
 /**
- * Periods after which the ranks are read though no pass has begun: sidecars
- * miss a planner after more than four.
+ * Periods after which the ranks are read without a new pass. Sidecars consider
+ * the planner lost after more than four silent periods.
  */
 const MAX_PERIODS_BETWEEN_READINGS = 2.5;
-/** Time between looks whether this process holds the seat, in milliseconds. */
+/** Time between checks while another process is the planner. */
 const INACTIVE_PERIOD_MS = 400;
 /**
- * And at least so many times as long as readings take: what carries them, the
- * links and processors beside the ranks, carries map changes too.
+ * Minimum period as a multiple of the time that a reading takes, so that
+ * readings leave links and processors free for map changes.
  */
-const MIN_PERIOD_READING_TIMES = 2;
-/** Longest time between readings, in milliseconds. */
+const PERIOD_READING_FACTOR = 2;
+/** Maximum time between readings while passes begin. */
 const MAX_PERIOD_MS = 400;
-/** Weight of the newest reading in how long they take. */
+/** Weight of the newest reading in the moving average of reading times. */
 const READING_TIME_WEIGHT = 0.2;
-/** Tokens to be seen before a first plan, per expert. */
+/** Minimum tokens per expert and set before planning. */
 const MIN_TOKENS_PER_EXPERT = 40;
 /**
- * Time that the copies of one change may take at a rank, in milliseconds:
- * copies slow passes down, and the worst should be relieved first.
+ * Maximum time that a rank copies in one change. Copies slow passes down, so
+ * the most valuable ones come first.
  */
 const MAX_COPY_TIME_MS = 100;
 /**
- * Least relief of a copy, in loads of a rank that has its fair part: a copy is
- * made by one rank, and what it relieves all ranks gain, so that it is worth
- * the more the larger the group is.
+ * Minimum relief by a copy, in multiples of the mean load, divided by the number
+ * of ranks: one rank pays for the copy, and all ranks gain from it.
  */
 const MIN_RELIEF = 0.36;
-/** Least gain of a whole change, in shares of the mean load. */
+/** Minimum reduction of the imbalance by a whole change. */
 const MIN_GAIN = 0.12;
-/** Entries are told of ranks that are slower than this. */
+/** Slowness above which a rank is reported to entries. */
 const SLOWNESS_THRESHOLD = 1.1;
 
-/** What a planner that may change the map knows of its group. */
+/** The group as the planner has recovered it; needed to change the map. */
 interface KnownGroup {
   readonly epoch: number;
   readonly ranks: GroupRanks;
   version: number;
   map: ExpertMap;
-  /** By rank, as read last. */
+  /** By rank, as of the last reading. */
   readonly states: RankState[];
 }
 
 export class GroupPlanner {
   private demand: RecentDemand | undefined;
   private known: KnownGroup | undefined;
-  /** Until the next reading. */
+  /** Cached until the next reading. */
   private lastView: GroupView | undefined;
   private isChanging = false;
   private hasStarted = false;
   private highestVersion = 0;
   private readonly changer: mapChanger.MapChanger;
-  /** Milliseconds that a reading takes. */
+  /** Moving average of the time that a reading takes. */
   private readingMs = 0;
-  /** The own rank's pass at the last reading, and when that was begun. */
+  /** The own rank's pass at the last reading, and when that reading started. */
   private lastRead = {step: -1, at: -Infinity};
   private isClosed = false;
   private timer: NodeJS.Timeout | undefined;
@@ -85,7 +83,7 @@
     this.changer = new mapChanger.MapChanger(context);
   }
 
-  /** What is known of the group; undefined: nothing certain. */
+  /** Undefined while the group or its demand is unknown. */
   get view(): GroupView | undefined {
     const {known} = this;
     const demand = this.demand?.demand;
@@ -98,7 +96,7 @@
 
   /** Milliseconds between readings of the ranks. */
   get periodMs(): number {
-    const ms = this.readingMs * MIN_PERIOD_READING_TIMES;
+    const ms = this.readingMs * PERIOD_READING_FACTOR;
     return Math.min(Math.max(ms, MIN_PERIOD_MS), MAX_PERIOD_MS);
   }
 
@@ -106,7 +104,7 @@
     this.scheduleTick(MIN_PERIOD_MS);
   }
 
-  /** Looks at once, where no look is under way. */
+  /** Ticks at once unless a tick is running. */
   wake(): void {
     if (this.timer !== undefined && !this.isClosed) {
       clearTimeout(this.timer);
@@ -124,7 +122,7 @@
   }
 
   private async tick(): Promise<void> {
-    const begunAt = performance.now();
+    const startedAt = performance.now();
     this.timer = undefined;
     let nextMs = this.periodMs;
     try {
@@ -135,12 +133,12 @@
       });
     }
     if (!this.isClosed) {
-      const tookMs = performance.now() - begunAt;
+      const tookMs = performance.now() - startedAt;
       this.scheduleTick(Math.max(nextMs - tookMs, 0));
     }
   }
 
-  /** Answers the time from its begin to the next one, in milliseconds. */
+  /** Returns the time from the start of this tick to the next, in milliseconds. */
   private async readWhenDue(): Promise<number> {
     if (this.context.term() === 0) {
       this.context.onTick();
@@ -166,7 +164,7 @@
     this.context.onTick();
     const figures = this.context.figures();
     if (figures === undefined) {
-      // The others should hear at once that the seat is taken.
+      // A reading tells the other members who the planner is.
       await this.context.links.read(links.STATES_ONLY);
       return;
     }
@@ -174,9 +172,9 @@
       await this.recover();
       return;
     }
-    const askedAt = performance.now();
+    const readAt = performance.now();
     const reading = await this.context.links.read(links.PLANNING);
-    this.recordReadingTime(performance.now() - askedAt);
+    this.recordReadingTime(performance.now() - readAt);
     if (reading.isDeposed) {
       this.context.onDeposed();
       return;
@@ -185,24 +183,24 @@
     const hasDrifted = this.updateDemand(figures, reading);
     this.lastView = undefined;
     if (hasDrifted) {
-      // Entries should hear of it before the next reading.
+      // Passes the new view on to entries before the next reading.
       void this.context.links.read(links.STATES_ONLY);
     }
-    // What was asked for during a change shows the group as it was held.
-    const isSince = askedAt > this.changer.endedAt;
-    if (!this.isChanging && isSince && this.known !== undefined) {
+    // A reading that started during a change may show the group held.
+    const isAfterChange = readAt > this.changer.endedAt;
+    if (!this.isChanging && isAfterChange && this.known !== undefined) {
       await this.plan(figures, this.known, reading);
     }
   }
 
-  /** What was known before the seat was lost may be wrong by now. */
+  /** Drops all knowledge of the group, which may be out of date. */
   private reset(): void {
     this.known = undefined;
     this.demand = undefined;
     this.hasStarted = false;
   }
 
-  /** Learns the map in force, and finishes what another planner left. */
+  /** Finishes a change left by another planner, then reads the map in force. */
   private async recover(): Promise<void> {
     const {links, log, group, ownRank, term} = this.contextParts();
     const reading = await links.readAll();
@@ -236,21 +234,21 @@
   }
 
   /**
-   * A new planner that can read all ranks but its predecessor's must not wait
-   * for that one: the group may be held.
+   * Ends the change of a predecessor whose rank is the only one that cannot be
+   * read: the group may be held and must not wait for that rank.
    */
   private async resolveOrphaned(reading: GroupReading): Promise<void> {
     const {links, log, metrics} = this.context;
     const former = this.context.formerRank();
     const readings = [...reading.ranks.values()];
     const [first] = readings;
-    const isMissing =
+    const isOnlyFormerMissing =
       !this.hasStarted &&
       first !== undefined &&
       former !== undefined &&
       readings.length === first.state.size - 1 &&
       readings.every(one => one.state.rank !== former);
-    if (isMissing) {
+    if (isOnlyFormerMissing) {
       const ranks = links.someRanksOf(reading);
       const end = await mapChange.resolveOrphaned(ranks, readings, former, log);
       metrics.count('orphaned_changes_total', {end});
@@ -268,8 +266,8 @@
         continue;
       }
       if (state.born !== this.known.states[state.rank]?.born) {
-        // A rank that started again holds no map and nothing prepared, even
-        // where its group still names the epoch of before.
+        // A restarted rank has lost its map and anything prepared, even if its
+        // group still reports the same epoch.
         this.known = undefined;
         return;
       }
@@ -277,7 +275,7 @@
     }
   }
 
-  /** True where demand has changed at once. */
+  /** Returns whether demand has drifted. */
   private updateDemand(figures: ExpertFigures, reading: GroupReading): boolean {
     this.demand ??= new RecentDemand(figures.sets);
     if (reading.growth === undefined) {
@@ -333,7 +331,7 @@
     void this.change(figures, known, {version, plan});
   }
 
-  /** False where the group isn't as this planner left it. */
+  /** Whether the group is as this planner left it; drops `known` if it must be recovered. */
   private async isSettled(
     known: KnownGroup,
     own: RankState,
@@ -344,26 +342,25 @@
       return false;
     }
     if (own.armed !== null) {
-      // The pass that takes the map has not begun yet, or a change was given
-      // up whose order came late.
+      // Either the pass that switches the map has not begun, or a late order
+      // armed the own rank for an aborted change.
       this.known = own.armed.version === known.version ? known : undefined;
       return false;
     }
     const readings = [...reading.ranks.values()];
-    const isStray = readings.some(({state}) => state.held !== null);
-    const isVersion = own.mapVersion === known.version;
-    if (isStray && isVersion) {
-      // A helper that freezes as it holds the group leaves this behind; the
-      // group then works on with what is known of it, and is not learnt anew,
-      // which would wait for the helper: 4 s without a view of the group.
+    const isHeld = readings.some(({state}) => state.held !== null);
+    const isKnownVersion = own.mapVersion === known.version;
+    if (isHeld && isKnownVersion) {
+      // A helper that froze while ordering the hold may cause a late one.
+      // Releasing it here avoids a recovery, which would wait for the helper.
       if (await this.changer.releaseLateHold(known.ranks, readings)) {
         return false;
       }
     }
-    if (isStray || !isVersion) {
+    if (isHeld || !isKnownVersion) {
       this.context.log.event('strayHold', {
         group: this.context.group,
-        isHeld: isStray,
+        isHeld,
         version: own.mapVersion,
       });
       this.known = undefined;
@@ -435,14 +432,13 @@
   };
 }
 
-/** A reading in the order of the ranks. */
 function sortedByRank(reading: GroupReading): RankReading[] {
   return [...reading.ranks.values()].sort(
     (a, b) => a.state.rank - b.state.rank,
   );
 }
 
-/** The map in force, where all ranks tell the same version of it. */
+/** Undefined if a rank is armed or the ranks have no common map version. */
 function knownGroupOf(
   ranks: GroupRanks,
   readings: readonly RankReading[],
