--- a/src/experts/change.test.ts
+++ b/src/experts/change.test.ts
@@ -5,7 +5,7 @@
 
 const RANKS = 4;
 
-/** Events in virtual time, in a random but repeatable order. */
+/** Runs events in virtual time; random numbers depend on the seed alone. */
 class Simulation {
   now = 0;
   private readonly events: {at: number; run: () => void}[] = [];
@@ -27,7 +27,7 @@
     return new Promise(resolve => this.after(ms, resolve));
   }
 
-  /** Runs until the work is done; fails after too long a time. */
+  /** Runs until the work is done or virtual time reaches the limit. */
   async until(work: Promise<unknown>, limitMs: number): Promise<void> {
     let isDone = false;
     void work.then(() => (isDone = true));
@@ -60,17 +60,17 @@
   highest: number;
   armed: types.ArmedMap | null;
   held: number | null;
-  /** Highest term that its sidecar has heard. */
+  /** Highest term that its sidecar has received. */
   term: number;
-  /** The last arm that its sidecar gave for another rank. */
+  /** The last arm order that its sidecar gave to another rank. */
   gave: types.GivenArm | null;
 }
 
-/** A group of ranks as the platform's pages describe it. */
+/** A lock-step group that carries out orders as engines do. */
 class FakeGroup {
   step = 0;
   isMixed = false;
-  /** Time for which a pass was not begun, at most at a stretch. */
+  /** Longest time for which the group was held, in virtual milliseconds. */
   maxHeldMs = 0;
   private heldSince: number | undefined;
   readonly ranks: Rank[] = Array.from({length: RANKS}, () => ({
@@ -190,28 +190,26 @@
   }
 }
 
-/** Where orders go wrong. */
 interface Faults {
-  /** Share of orders that get no answer and are carried out late. */
+  /** Probability that an order gets no answer and is carried out late. */
   readonly lateShare: number;
-  /** Share of answers that are lost. */
+  /** Probability that an answer is lost. */
   readonly lostShare: number;
 }
 
-/** An instance that stands still, with its sidecar, from one time to another. */
+/** Period in which an instance and its sidecar are frozen, in virtual time. */
 interface Freeze {
   readonly rank: number;
   readonly from: number;
   readonly to: number;
 }
 
-/** How long callers wait for an instance that does not answer. */
 const CALL_TIMEOUT_MS = 120;
 
 /**
- * The ways of a planner on one instance to the ranks. Sidecars obey the
- * highest term; engines obey everybody. An instance that stands still keeps
- * its rank out of reach, while that goes on making passes.
+ * Connections of a planner on one instance to the ranks. Sidecars accept only
+ * the highest term; engines accept every order. A frozen instance cannot be
+ * called, while its rank keeps running.
  */
 class FakeRanks extends types.Ranks {
   readonly size = RANKS;
@@ -225,16 +223,18 @@
   }
 
   async readStates(
-    places: readonly number[],
+    rankNumbers: readonly number[],
   ): Promise<(types.RankState | undefined)[]> {
-    const readings = await this.read(places);
+    const readings = await this.read(rankNumbers);
     return readings.map(one => one?.state);
   }
 
-  read(places: readonly number[]): Promise<(types.RankReading | undefined)[]> {
+  read(
+    rankNumbers: readonly number[],
+  ): Promise<(types.RankReading | undefined)[]> {
     const {group} = this.world;
     return Promise.all(
-      places.map(at =>
+      rankNumbers.map(at =>
         this.call<types.RankReading | undefined>(at, undefined, () =>
           this.acceptsTerm(at)
             ? {
@@ -249,11 +249,11 @@
   }
 
   order(
-    places: readonly number[],
+    rankNumbers: readonly number[],
     order: types.Order,
   ): Promise<types.OrderResult[]> {
     return Promise.all(
-      places.map(at =>
+      rankNumbers.map(at =>
         this.retry(() =>
           this.call<types.OrderResult>(at, 'no-answer', () =>
             this.acceptsTerm(at) ? this.deliver(at, order) : 'deposed',
@@ -264,11 +264,11 @@
   }
 
   orderPast(
-    places: readonly number[],
+    rankNumbers: readonly number[],
     order: types.Order,
   ): Promise<types.OrderResult[]> {
     return Promise.all(
-      places.map(at =>
+      rankNumbers.map(at =>
         this.retry(() =>
           this.call<types.OrderResult>(at, 'no-answer', () =>
             this.deliver(at, order),
@@ -280,33 +280,31 @@
 
   orderThrough(
     helper: number,
-    place: number,
+    rank: number,
     order: types.Order,
   ): Promise<types.OrderResult> {
     const {group} = this.world;
-    const given =
-      order.kind === 'arm'
-        ? {...order, rank: place, isConfirmed: false}
-        : undefined;
-    const beside = new FakeRanks(this.world, helper, this.term);
+    const givenArm =
+      order.kind === 'arm' ? {...order, rank, isConfirmed: false} : undefined;
+    const helperRanks = new FakeRanks(this.world, helper, this.term);
     return this.call<types.OrderResult>(helper, 'no-answer', async () => {
       if (!this.acceptsTerm(helper)) {
         return 'deposed';
       }
-      group.ranks[helper]!.gave = given ?? null;
-      const [result] = await beside.orderPast([place], order);
-      if (given !== undefined) {
-        given.isConfirmed = result === 'done';
+      group.ranks[helper]!.gave = givenArm ?? null;
+      const [result] = await helperRanks.orderPast([rank], order);
+      if (givenArm !== undefined) {
+        givenArm.isConfirmed = result === 'done';
       }
       return result!;
     });
   }
 
   private async retry(
-    once: () => Promise<types.OrderResult>,
+    attempt: () => Promise<types.OrderResult>,
   ): Promise<types.OrderResult> {
     for (let tries = 0; tries < 4; tries += 1) {
-      const result = await once();
+      const result = await attempt();
       if (result !== 'no-answer') {
         return result;
       }
@@ -314,16 +312,16 @@
     return 'no-answer';
   }
 
-  /** At a rank's engine; answers may be lost, and orders come late. */
+  /** Gives an order to a rank's engine, subject to the faults of the world. */
   private deliver(at: number, order: types.Order): types.OrderResult {
-    const {sim, group, trouble} = this.world;
-    if (sim.unit() < trouble.lateShare) {
+    const {sim, group, faults} = this.world;
+    if (sim.unit() < faults.lateShare) {
       const lateMs = 50 + sim.unit() * 3_000;
       sim.after(lateMs, () => group.carryOut(at, order));
       return 'no-answer';
     }
     const result = group.carryOut(at, order);
-    return sim.unit() < trouble.lostShare ? 'no-answer' : result;
+    return sim.unit() < faults.lostShare ? 'no-answer' : result;
   }
 
   private acceptsTerm(at: number): boolean {
@@ -332,21 +330,24 @@
     return this.term === rank.term;
   }
 
-  /** Goes to an instance and back; both may stand still meanwhile. */
+  /**
+   * Calls an instance and waits for its answer. Frozen instances delay the
+   * call; `silence` is returned after CALL_TIMEOUT_MS.
+   */
   private async call<T>(
     at: number,
     silence: T,
-    there: () => T | Promise<T>,
+    handle: () => T | Promise<T>,
   ): Promise<T> {
     const {sim} = this.world;
-    const hop = () => 1 + sim.unit() * 20;
+    const latencyMs = () => 1 + sim.unit() * 20;
     await this.world.untilRunning(this.own);
-    await sim.sleep(hop());
+    await sim.sleep(latencyMs());
     const work = (async () => {
       await this.world.untilRunning(at);
-      const result = await there();
+      const result = await handle();
       await this.world.untilRunning(at);
-      await sim.sleep(hop());
+      await sim.sleep(latencyMs());
       return result;
     })();
     const result = await Promise.race([
@@ -358,11 +359,11 @@
   }
 }
 
-function mapOf(name: number): types.ExpertMap {
-  return [Array.from({length: RANKS}, (_, rank) => [rank, RANKS + name])];
+function mapOf(version: number): types.ExpertMap {
+  return [Array.from({length: RANKS}, (_, rank) => [rank, RANKS + version])];
 }
 
-/** A group, its troubles, and an instance that may stand still. */
+/** A simulated group with its faults and an instance that may freeze. */
 class World {
   readonly sim: Simulation;
   readonly group: FakeGroup;
@@ -370,7 +371,7 @@
 
   constructor(
     seed: number,
-    readonly trouble: Faults,
+    readonly faults: Faults,
   ) {
     this.sim = new Simulation(seed);
     this.group = new FakeGroup(this.sim);
@@ -380,7 +381,7 @@
     return new FakeRanks(this, own, term);
   }
 
-  /** Resolves when an instance runs. */
+  /** Resolves when an instance is not frozen. */
   async untilRunning(rank: number): Promise<void> {
     const {freeze} = this;
     if (freeze?.rank === rank && this.sim.now >= freeze.from) {
@@ -411,7 +412,7 @@
 const ROLES = {own: 0, holder: 1, helper: 3};
 
 describe('changing the map of a group in lock-step', () => {
-  it('puts the map in force at every rank, and leaves nothing held', async () => {
+  it('switches every rank to the map and releases the group', async () => {
     const world = new World(7, NO_FAULTS);
     const {sim, group} = world;
     const work = changes.changeMap(
@@ -430,20 +431,20 @@
   });
 
   it.each([
-    ['a calm group', NO_FAULTS],
-    ['orders that come late and answers that are lost', LATE_OR_LOST],
-  ])('never begins a pass with two maps: %s', async (_, trouble) => {
+    ['without faults', NO_FAULTS],
+    ['with late orders and lost answers', LATE_OR_LOST],
+  ])('never begins a pass with two maps: %s', async (_, faults) => {
     for (const seed of SEEDS) {
-      const world = new World(seed, trouble);
+      const world = new World(seed, faults);
       const {sim, group} = world;
       const ranks = world.ranksOf(0, 1);
-      const trace = newState();
+      const state = newState();
       const work = (async () => {
         for (let at = 1; at <= 4; at += 1) {
           const holder = 1 + (at % 3);
-          const parts = {own: 0, holder, helper: 1 + (holder % 3)};
+          const roles = {own: 0, holder, helper: 1 + (holder % 3)};
           const next = change(at * 10);
-          await changes.changeMap(ranks, next, parts, trace, SILENT_LOG);
+          await changes.changeMap(ranks, next, roles, state, SILENT_LOG);
         }
       })();
       await sim.until(work, 60_000);
@@ -453,22 +454,14 @@
   });
 
   it.each([
-    ['the planner, in a calm group', 0, NO_FAULTS],
-    [
-      'the planner, with orders that come late and answers lost',
-      0,
-      LATE_OR_LOST,
-    ],
-    ['the holder, in a calm group', 1, NO_FAULTS],
-    ['the helper, in a calm group', 3, NO_FAULTS],
-    [
-      'the helper, with orders that come late and answers lost',
-      3,
-      LATE_OR_LOST,
-    ],
-  ])('survives an instance that freezes: %s', async (_, rank, trouble) => {
+    ['the planner', 0, NO_FAULTS],
+    ['the planner, with late orders and lost answers', 0, LATE_OR_LOST],
+    ['the holder', 1, NO_FAULTS],
+    ['the helper', 3, NO_FAULTS],
+    ['the helper, with late orders and lost answers', 3, LATE_OR_LOST],
+  ])('survives a frozen instance: %s', async (_, rank, faults) => {
     for (const seed of SEEDS) {
-      const world = new World(seed, trouble);
+      const world = new World(seed, faults);
       const {sim, group} = world;
       const from = sim.unit() * 300;
       world.freeze = {rank, from, to: from + 1_500 + sim.unit() * 2_000};
@@ -483,7 +476,7 @@
       const taken = takeOver(world, 2);
       await sim.until(Promise.all([old, taken]), 60_000);
       await sim.runFor(5_000);
-      // A planner goes on looking for what came late.
+      // Orders that arrive late are cleaned up by the planner's next readings.
       await sim.until(finishLeftovers(world, 2), 60_000);
       expect([seed, group.isMixed]).toEqual([seed, false]);
       expect([seed, await taken]).toEqual([seed, 'armed']);
@@ -494,7 +487,7 @@
     }
   });
 
-  it('does not wait for a planner that froze as it gave orders', async () => {
+  it('does not wait for a planner that freezes while it arms ranks', async () => {
     const held: number[] = [];
     for (const seed of SEEDS) {
       const world = new World(seed, NO_FAULTS);
@@ -507,7 +500,7 @@
         newState(),
         SILENT_LOG,
       );
-      // The adversary strikes when the first rank beside its own is armed.
+      // Freezes the planner once the first rank other than its own is armed.
       while (group.ranks.slice(1).every(one => one.armed === null)) {
         await sim.runFor(1);
       }
@@ -522,7 +515,7 @@
     expect(Math.max(...held)).toBeLessThan(1_500);
   });
 
-  it('does not wait for a helper that froze as it gave its order', async () => {
+  it('does not wait for a helper that freezes once it has armed the planner', async () => {
     const held: number[] = [];
     for (const seed of SEEDS) {
       const world = new World(seed, NO_FAULTS);
@@ -548,35 +541,35 @@
     expect(Math.max(...held)).toBeLessThan(1_500);
   });
 
-  it('releases a hold that came after its release, once it shows', async () => {
+  it('releases a hold that takes effect after its release', async () => {
     const held: number[] = [];
     for (const seed of SEEDS) {
       const world = new World(seed, NO_FAULTS);
       const {sim, group} = world;
       const ranks = world.ranksOf(0, 1);
-      const trace = newState();
-      // The helper takes the order to hold and stands still, without an answer.
-      const strikes = async () => {
+      const state = newState();
+      // Freezes the helper shortly after it prepares, when the hold order is due.
+      const freezeHelper = async () => {
         while (group.ranks[3]!.prepared === null) {
           await sim.sleep(1);
         }
         world.freeze = {rank: 3, from: sim.now + 5, to: sim.now + 600};
       };
-      void strikes();
+      void freezeHelper();
       const next = {...change(1), passesAhead: () => 12};
-      const old = changes.changeMap(ranks, next, ROLES, trace, SILENT_LOG);
+      const old = changes.changeMap(ranks, next, ROLES, state, SILENT_LOG);
       await sim.until(old, 60_000);
       if ((await old) !== 'not-held') {
         continue;
       }
-      // It wakes, and its order reaches the rank between two looks, or later.
-      for (let look = 0; look < 8; look += 1) {
+      // The helper wakes, and its order reaches the rank after a reading.
+      for (let round = 0; round < 8; round += 1) {
         const release = (async () => {
           const readings = await ranks.read([0, 1, 2]);
           return changes.releaseLateHold(
             ranks,
             readings.flatMap(one => one ?? []),
-            trace.lastUsedStep,
+            state.lastUsedStep,
           );
         })();
         await sim.until(release, 60_000);
@@ -591,30 +584,30 @@
     expect(Math.max(...held)).toBeLessThan(1_500);
   });
 
-  it('leaves a hold that is not its own, and one with ranks armed', async () => {
+  it('keeps a hold for another pass, and one with a rank armed', async () => {
     const world = new World(5, NO_FAULTS);
     const {sim, group} = world;
     const ranks = world.ranksOf(0, 1);
     const step = group.step + 40;
     group.carryOut(1, {kind: 'hold', epoch: 1, step});
-    const judge = async (heldInVain: number) => {
+    const tryRelease = async (heldStep: number) => {
       const work = (async () => {
         const readings = await ranks.read([0, 1, 2, 3]);
         const known = readings.flatMap(one => one ?? []);
-        return changes.releaseLateHold(ranks, known, heldInVain);
+        return changes.releaseLateHold(ranks, known, heldStep);
       })();
       await sim.until(work, 10_000);
       return work;
     };
-    expect(await judge(step - 1)).toBe(false);
+    expect(await tryRelease(step - 1)).toBe(false);
     expect(group.ranks[1]!.held).toBe(step);
     group.carryOut(2, prepare(9));
     group.carryOut(2, {kind: 'arm', epoch: 1, version: 9, step});
-    expect(await judge(step)).toBe(false);
+    expect(await tryRelease(step)).toBe(false);
     expect(group.ranks[1]!.held).toBe(step);
   });
 
-  it('waits for a planner whose rank may be armed', async () => {
+  it('keeps the group held while the silent rank may be armed', async () => {
     const world = new World(3, NO_FAULTS);
     const {sim, group} = world;
     const ranks = world.ranksOf(2, 2);
@@ -623,24 +616,24 @@
     group.carryOut(1, {kind: 'hold', epoch: 1, step});
     const gave = {epoch: 1, rank: 0, version: 9, step, isConfirmed: false};
     group.ranks[3]!.gave = gave;
-    const end = async () => {
+    const resolve = async () => {
       const readings = (await ranks.read([1, 2, 3])).flatMap(one => one ?? []);
       return changes.resolveOrphaned(ranks, readings, 0, SILENT_LOG);
     };
-    const first = end();
+    const first = resolve();
     await sim.until(first, 10_000);
     expect(await first).toBe('unknown');
     expect(group.ranks[1]!.held).toBe(step);
     group.ranks[3]!.gave = {...gave, isConfirmed: true};
     group.carryOut(0, {kind: 'arm', epoch: 1, version: 9, step});
-    const second = end();
+    const second = resolve();
     await sim.until(second, 10_000);
     expect(await second).toBe('armed');
     expect(group.ranks.map(one => one.armed?.version)).toEqual([9, 9, 9, 9]);
     expect(group.ranks[1]!.held).toBeNull();
   });
 
-  it('waits where a sidecar has forgotten what it gave', async () => {
+  it('keeps the group held if a sidecar no longer knows what it armed', async () => {
     const world = new World(3, NO_FAULTS);
     const {sim, group} = world;
     const ranks = world.ranksOf(2, 2);
@@ -649,8 +642,8 @@
     const work = (async () => {
       const readings = (await ranks.read([1, 2, 3])).flatMap(one => one ?? []);
       const [first, ...rest] = readings as [types.RankReading];
-      const forgetful = [{...first, gave: undefined}, ...rest];
-      return changes.resolveOrphaned(ranks, forgetful, 0, SILENT_LOG);
+      const incomplete = [{...first, gave: undefined}, ...rest];
+      return changes.resolveOrphaned(ranks, incomplete, 0, SILENT_LOG);
     })();
     await sim.until(work, 10_000);
     expect(await work).toBe('unknown');
@@ -671,11 +664,11 @@
   };
 }
 
-/** What a new planner does: reads all, ends what was left, changes the map. */
+/** Acts as a new planner until a change of its own has armed all ranks. */
 async function takeOver(world: World, own: number): Promise<string> {
   const ranks = world.ranksOf(own, 2);
-  // A planner that finds a change given up spares the passes it may name.
-  const trace = {lastUsedStep: world.group.step + 9, armMs: undefined};
+  // Passes that late orders of the aborted change may name are not held.
+  const state = {lastUsedStep: world.group.step + 9, armMs: undefined};
   let version = 10;
   for (;;) {
     const readings = (await ranks.read(ranks.all)).flatMap(one => one ?? []);
@@ -684,16 +677,16 @@
       const end = await changes.finishChange(ranks, readings, own, SILENT_LOG);
       if (end === 'nothing-left') {
         version += 10;
-        const parts = {own, holder: 3, helper: 1};
-        const made = await changes.changeMap(
+        const roles = {own, holder: 3, helper: 1};
+        const outcome = await changes.changeMap(
           ranks,
           change(version),
-          parts,
-          trace,
+          roles,
+          state,
           SILENT_LOG,
         );
-        if (made === 'armed') {
-          return made;
+        if (outcome === 'armed') {
+          return outcome;
         }
       }
     } else if (states.length === RANKS - 1) {
@@ -708,7 +701,7 @@
   }
 }
 
-/** Ends what orders that came late have left behind. */
+/** Ends changes that late orders have left behind. */
 async function finishLeftovers(world: World, own: number): Promise<void> {
   const ranks = world.ranksOf(own, 2);
   for (;;) {
--- a/src/experts/packing.test.ts
+++ b/src/experts/packing.test.ts
@@ -24,7 +24,7 @@
       ),
     );
 
-  it('keeps it, whatever it is told against', () => {
+  it('round-trips a map against any base of its shape', () => {
     fc.assert(
       fc.property(map, ([base, cells]) => {
         const changed = base.map(held => [...held]);
@@ -38,7 +38,7 @@
     );
   });
 
-  it('takes few bytes where few experts moved: 22 KB before, 3 at most', () => {
+  it('takes less than 3 KB for a change of few cells in a large map', () => {
     const base = packing.initialMap(SHAPE);
     const moved = base.map((held, set) =>
       held.map((experts, rank) =>
@@ -50,7 +50,7 @@
     expect(packing.packMap(moved, base).length).toBeLessThan(3_000);
   });
 
-  it('takes no text that is cut short, and none of another shape', () => {
+  it('rejects truncated text and a base of another shape', () => {
     const base = [[[1, 2, 3, 4], [5]]];
     const text = packing.packMap(
       [
@@ -67,7 +67,7 @@
     expect(packing.unpackMap(text, [...base, ...base])).toBeUndefined();
   });
 
-  it('tells its shape, from which the first map can be worked out', () => {
+  it('reads the shape, from which the initial map is built', () => {
     const map = packing.initialMap(SHAPE);
     expect(packing.readShape(packing.packMap(map, map))).toEqual(SHAPE);
     expect(packing.readShape('?')).toBeUndefined();
@@ -76,7 +76,7 @@
 });
 
 describe('packing growth', () => {
-  it('keeps it to a 255th of the largest', () => {
+  it('is accurate to a 255th of the largest value', () => {
     const growth = [0, 3, 1_000, 12_345];
     const kept = packing.unpackGrowth(packing.packGrowth(growth))!;
     growth.forEach((value, at) =>
@@ -84,26 +84,26 @@
     );
   });
 
-  it('keeps little demand beside great: to a 5,000th of the largest', () => {
+  it('keeps a small value beside a large one: to a 5,000th of the largest', () => {
     const kept = packing.unpackGrowth(packing.packGrowth([10, 10_000]))!;
     expect(Math.abs(kept[0]! - 10)).toBeLessThan(2);
   });
 
-  it('moves 6 in 100 of the demand for many experts at most', () => {
+  it('misplaces less than 6 % of the demand for many experts', () => {
     const growth = Array.from(
       {length: SHAPE.sets * SHAPE.experts},
       (_, at) => 1_000 / (1 + ((at * 97) % SHAPE.experts)) ** 0.45,
     );
     const kept = packing.unpackGrowth(packing.packGrowth(growth))!;
     const total = growth.reduce((sum, value) => sum + value, 0);
-    const off = growth.reduce(
+    const error = growth.reduce(
       (sum, value, at) => sum + Math.abs(value - kept[at]!),
       0,
     );
-    expect(off / total).toBeLessThan(0.06);
+    expect(error / total).toBeLessThan(0.06);
   });
 
-  it('takes 2.5 KB for the sum over many ranks: 5.5 KB before', () => {
+  it('takes less than 2.5 KB for the sum over many ranks', () => {
     const growth = Array.from(
       {length: SHAPE.sets * SHAPE.experts},
       (_, at) => 40_000 / (1 + ((at * 97) % SHAPE.experts)) ** 1.1,
@@ -112,8 +112,8 @@
     expect(bytes.length).toBeLessThan(2_500);
   });
 
-  it('reads nothing out of bytes that were never packed', () => {
-    const none = {largest: 1, steps: 9, bytes: '####'};
-    expect(packing.unpackGrowth(none)).toBeUndefined();
+  it('rejects bytes that were not deflated', () => {
+    const invalid = {largest: 1, steps: 9, bytes: '####'};
+    expect(packing.unpackGrowth(invalid)).toBeUndefined();
   });
 });
--- a/src/experts/plan.test.ts
+++ b/src/experts/plan.test.ts
@@ -25,8 +25,8 @@
   {minLength: FIGURES.sets, maxLength: FIGURES.sets},
 );
 
-/** Plans several changes in a row, each from the one before. */
-function planInRow(demands: readonly (readonly Float64Array[])[]) {
+/** Plans a change for each demand, starting from the map of the one before. */
+function planInSequence(demands: readonly (readonly Float64Array[])[]) {
   const first = packing.initialMap({...FIGURES, ranks: RANKS});
   const steps: {from: plans.MapPlan['map']; plan: plans.MapPlan}[] = [];
   let map: plans.MapPlan['map'] = first;
@@ -41,10 +41,10 @@
 }
 
 describe('planning an expert map', () => {
-  it('holds every expert, and none twice at a rank', () => {
+  it('gives every expert a holder, and no rank an expert twice', () => {
     fc.assert(
       fc.property(fc.array(demand, {minLength: 1, maxLength: 5}), demands => {
-        for (const {plan} of planInRow(demands)) {
+        for (const {plan} of planInSequence(demands)) {
           for (const held of plan.map) {
             expect(new Set(held.flat()).size).toBe(FIGURES.experts);
             for (const experts of held) {
@@ -58,17 +58,17 @@
     );
   });
 
-  it('brings a rank no more than a change may', () => {
+  it('keeps to the limits of new experts per rank', () => {
     fc.assert(
       fc.property(fc.array(demand, {minLength: 1, maxLength: 5}), demands => {
-        for (const {from, plan} of planInRow(demands)) {
+        for (const {from, plan} of planInSequence(demands)) {
           const total = new Array<number>(RANKS).fill(0);
           plan.map.forEach((held, set) =>
             held.forEach((experts, rank) => {
               const before = from[set]![rank]!;
-              const brought = experts.filter(e => !before.includes(e)).length;
-              expect(brought).toBeLessThanOrEqual(LIMITS.spare);
-              total[rank]! += brought;
+              const added = experts.filter(e => !before.includes(e)).length;
+              expect(added).toBeLessThanOrEqual(LIMITS.spare);
+              total[rank]! += added;
             }),
           );
           expect(Math.max(...total)).toBeLessThanOrEqual(LIMITS.copiesPerRank);
@@ -78,10 +78,10 @@
     );
   });
 
-  it('predicts what the map does', () => {
+  it('reports the imbalance of the old and the new map', () => {
     fc.assert(
       fc.property(demand, one => {
-        for (const {from, plan} of planInRow([one])) {
+        for (const {from, plan} of planInSequence([one])) {
           expect(plan.imbalanceBefore).toBeCloseTo(
             plans.imbalance(from, one, EVEN),
             9,
@@ -96,10 +96,10 @@
     );
   });
 
-  it('spreads one expert that is asked for most of the time', () => {
+  it('replicates one expert with most of the demand', () => {
     const hot = Float64Array.from({length: FIGURES.experts}, () => 1);
     hot[7] = 200;
-    const [first, second] = planInRow([
+    const [first, second] = planInSequence([
       [hot, hot],
       [hot, hot],
     ]);
@@ -108,7 +108,7 @@
     expect(last.plan.imbalanceAfter).toBeLessThan(1.3);
   });
 
-  it('takes work away from a slow rank', () => {
+  it('moves load off a slow rank', () => {
     const even = Float64Array.from({length: FIGURES.experts}, () => 5);
     const slowness = [1, 1, 5, 1, 1, 1];
     const limits = {...LIMITS, copiesPerRank: 3};
@@ -124,7 +124,7 @@
     expect(plans.imbalance(map, [even, even], slowness)).toBeLessThan(1.6);
   });
 
-  it('plans nothing where demand is even', () => {
+  it('plans nothing for even demand', () => {
     const even = Float64Array.from({length: FIGURES.experts}, () => 5);
     const map = packing.initialMap({...FIGURES, ranks: RANKS});
     expect(plans.planMap(map, [even, even], EVEN, LIMITS)).toBeUndefined();
--- a/src/experts/planner.ts
+++ b/src/experts/planner.ts
@@ -331,7 +331,10 @@
     void this.change(figures, known, {version, plan});
   }
 
-  /** Whether the group is as this planner left it; drops `known` if it must be recovered. */
+  /**
+   * Whether the group is as this planner left it. Drops `known` if the group
+   * must be recovered.
+   */
   private async isSettled(
     known: KnownGroup,
     own: RankState,
@@ -348,19 +351,19 @@
       return false;
     }
     const readings = [...reading.ranks.values()];
-    const isHeld = readings.some(({state}) => state.held !== null);
+    const isGroupHeld = readings.some(({state}) => state.held !== null);
     const isKnownVersion = own.mapVersion === known.version;
-    if (isHeld && isKnownVersion) {
+    if (isGroupHeld && isKnownVersion) {
       // A helper that froze while ordering the hold may cause a late one.
       // Releasing it here avoids a recovery, which would wait for the helper.
       if (await this.changer.releaseLateHold(known.ranks, readings)) {
         return false;
       }
     }
-    if (isHeld || !isKnownVersion) {
+    if (isGroupHeld || !isKnownVersion) {
       this.context.log.event('strayHold', {
         group: this.context.group,
-        isHeld,
+        isHeld: isGroupHeld,
         version: own.mapVersion,
       });
       this.known = undefined;
--- a/src/experts/set-placement.test.ts
+++ b/src/experts/set-placement.test.ts
@@ -1,6 +1,6 @@
 import * as fc from 'fast-check';
 import * as packing from './packing';
-import * as setPacking from './set-placement';
+import * as setPlacement from './set-placement';
 
 const RANKS = 9;
 const EXPERTS = 20;
@@ -13,14 +13,14 @@
     maxLength: EXPERTS,
   })
   .map(values => Float64Array.from(values));
-const room = fc.array(fc.nat(3), {minLength: RANKS, maxLength: RANKS});
+const maxNew = fc.array(fc.nat(3), {minLength: RANKS, maxLength: RANKS});
 
-function firstHeld(): number[][] {
+function initialHeld(): number[][] {
   const shape = {sets: 1, ranks: RANKS, experts: EXPERTS};
   return packing.initialMap(shape)[0]!;
 }
 
-/** Most loaded rank over the mean. */
+/** Load of the most loaded rank divided by the mean load. */
 function imbalanceOf(held: readonly number[][], asked: Float64Array): number {
   const holders = (expert: number) =>
     held.filter(experts => experts.includes(expert)).length;
@@ -31,70 +31,70 @@
   return (Math.max(...loads) * held.length) / total;
 }
 
-describe('packing the experts of a set', () => {
-  it('holds every expert, none twice at a rank, within places and room', () => {
+describe('placing the experts of a set', () => {
+  it('gives every expert a holder, no rank one twice, within the limits', () => {
     fc.assert(
-      fc.property(demand, demand, room, (first, second, rooms) => {
-        let held = firstHeld();
+      fc.property(demand, demand, maxNew, (first, second, limits) => {
+        let held = initialHeld();
         for (const asked of [first, second]) {
-          const task = {held, demand: asked, slowness: EVEN, places: PLACES};
-          const packed = setPacking.placeExperts({...task, maxNew: rooms});
-          if (packed === undefined) {
+          const input = {held, demand: asked, slowness: EVEN, places: PLACES};
+          const placed = setPlacement.placeExperts({...input, maxNew: limits});
+          if (placed === undefined) {
             continue;
           }
-          expect(new Set(packed.flat()).size).toBe(EXPERTS);
-          packed.forEach((experts, rank) => {
+          expect(new Set(placed.flat()).size).toBe(EXPERTS);
+          placed.forEach((experts, rank) => {
             const before = held[rank]!;
-            const brought = experts.filter(one => !before.includes(one));
+            const added = experts.filter(one => !before.includes(one));
             expect(new Set(experts).size).toBe(experts.length);
             expect(experts.length).toBeLessThanOrEqual(PLACES);
-            expect(brought.length).toBeLessThanOrEqual(rooms[rank]!);
+            expect(added.length).toBeLessThanOrEqual(limits[rank]!);
           });
-          held = packed;
+          held = placed;
         }
       }),
       {numRuns: 400, seed: 41},
     );
   });
 
-  it('leaves ranks that are even enough as they are', () => {
+  it('copies nothing between balanced ranks', () => {
     const asked = Float64Array.from({length: EXPERTS}, () => 5);
-    const held = firstHeld();
-    const task = {held, demand: asked, slowness: EVEN, places: PLACES};
-    const packed = setPacking.placeExperts({
-      ...task,
+    const held = initialHeld();
+    const input = {held, demand: asked, slowness: EVEN, places: PLACES};
+    const placed = setPlacement.placeExperts({
+      ...input,
       maxNew: EVEN.map(() => 3),
     })!;
-    packed.forEach((experts, rank) =>
+    placed.forEach((experts, rank) =>
       expect(experts.filter(one => !held[rank]!.includes(one))).toHaveLength(0),
     );
   });
 
-  it('gives an expert with half of all demand half of the ranks', () => {
+  it('gives an expert with half of the demand at least half of the ranks', () => {
     const asked = Float64Array.from({length: EXPERTS}, () => 1);
     asked[3] = EXPERTS - 1;
-    const held = firstHeld();
-    const task = {held, demand: asked, slowness: EVEN, places: PLACES};
-    const packed = setPacking.placeExperts({
-      ...task,
+    const held = initialHeld();
+    const input = {held, demand: asked, slowness: EVEN, places: PLACES};
+    const placed = setPlacement.placeExperts({
+      ...input,
       maxNew: EVEN.map(() => 3),
     })!;
-    const holders = packed.filter(experts => experts.includes(3)).length;
+    const holders = placed.filter(experts => experts.includes(3)).length;
     expect(holders).toBeGreaterThanOrEqual(5);
     expect(imbalanceOf(held, asked)).toBeGreaterThan(4);
-    expect(imbalanceOf(packed, asked)).toBeLessThan(1.35);
+    expect(imbalanceOf(placed, asked)).toBeLessThan(1.35);
   });
 
-  it('gives a slow rank less', () => {
+  it('gives a slow rank fewer experts', () => {
     const asked = Float64Array.from({length: EXPERTS}, () => 5);
     const slowness = EVEN.map((_, rank) => (rank === 2 ? 4 : 1));
-    const held = firstHeld();
-    const task = {held, demand: asked, slowness, places: PLACES};
-    const packed = setPacking.placeExperts({
-      ...task,
+    const held = initialHeld();
+    const input = {held, demand: asked, slowness, places: PLACES};
+    const placed = setPlacement.placeExperts({
+      ...input,
       maxNew: EVEN.map(() => 3),
     })!;
     expect(held[2]!.length).toBe(2);
-    expect(packed[2]!.length).toBeLessThanOrEqual(1);
+    expect(placed[2]!.length).toBeLessThanOrEqual(1);
   });
 });
