--- a/src/experts/change.test.ts
+++ b/src/experts/change.test.ts
@@ -280,21 +280,23 @@
 
   orderThrough(
     helper: number,
-    rank: number,
+    rankNumber: number,
     order: types.Order,
   ): Promise<types.OrderResult> {
     const {group} = this.world;
-    const givenArm =
-      order.kind === 'arm' ? {...order, rank, isConfirmed: false} : undefined;
+    const given =
+      order.kind === 'arm'
+        ? {...order, rank: rankNumber, isConfirmed: false}
+        : undefined;
     const helperRanks = new FakeRanks(this.world, helper, this.term);
     return this.call<types.OrderResult>(helper, 'no-answer', async () => {
       if (!this.acceptsTerm(helper)) {
         return 'deposed';
       }
-      group.ranks[helper]!.gave = givenArm ?? null;
-      const [result] = await helperRanks.orderPast([rank], order);
-      if (givenArm !== undefined) {
-        givenArm.isConfirmed = result === 'done';
+      group.ranks[helper]!.gave = given ?? null;
+      const [result] = await helperRanks.orderPast([rankNumber], order);
+      if (given !== undefined) {
+        given.isConfirmed = result === 'done';
       }
       return result!;
     });
--- a/src/experts/packing.ts
+++ b/src/experts/packing.ts
@@ -36,7 +36,7 @@
 
 /** The shape of a map in which every expert has a holder. */
 export function shapeOf(map: ExpertMap): MapShape {
-  const highest = map[0]?.flat().reduce((most, one) => Math.max(most, one), -1);
+  const highest = map[0]?.flat().reduce((max, one) => Math.max(max, one), -1);
   const ranks = map[0]?.length ?? 0;
   return {sets: map.length, ranks, experts: (highest ?? -1) + 1};
 }
@@ -130,8 +130,12 @@
 function unpackNumbers(text: string): number[] | undefined {
   const bytes = inflate(text);
   const width = bytes?.[0] ?? 0;
-  const isWidth = width === 1 || width === WIDE_NUMBER_BYTES;
-  if (bytes === undefined || !isWidth || (bytes.length - 1) % width !== 0) {
+  const isKnownWidth = width === 1 || width === WIDE_NUMBER_BYTES;
+  if (
+    bytes === undefined ||
+    !isKnownWidth ||
+    (bytes.length - 1) % width !== 0
+  ) {
     return undefined;
   }
   return Array.from({length: (bytes.length - 1) / width}, (_, at) =>
--- a/src/experts/planner.ts
+++ b/src/experts/planner.ts
@@ -44,8 +44,8 @@
  */
 const MAX_COPY_TIME_MS = 100;
 /**
- * Minimum relief by a copy, in multiples of the mean load, divided by the number
- * of ranks: one rank pays for the copy, and all ranks gain from it.
+ * Minimum relief by a copy, in multiples of the mean load. It is divided by the
+ * number of ranks, since one rank makes the copy and all ranks gain from it.
  */
 const MIN_RELIEF = 0.36;
 /** Minimum reduction of the imbalance by a whole change. */
@@ -146,8 +146,8 @@
       return INACTIVE_PERIOD_MS;
     }
     const now = performance.now();
-    const longestMs = this.periodMs * MAX_PERIODS_BETWEEN_READINGS;
-    if (this.known !== undefined && now - this.lastRead.at < longestMs) {
+    const maxMs = this.periodMs * MAX_PERIODS_BETWEEN_READINGS;
+    if (this.known !== undefined && now - this.lastRead.at < maxMs) {
       const own = await this.context.ownState();
       if (own === undefined || own.step === this.lastRead.step) {
         return PASS_POLL_INTERVAL_MS;
