--- a/src/experts/set-search.ts
+++ b/src/experts/set-search.ts
@@ -1,6 +1,6 @@
 /**
  * Greedy search for single copies that relieve the most loaded ranks of one
- * set of layers, without I/O. Only a few hot and cold ranks are tried at each step.
+ * set of layers, without I/O. Each step tries only a few hot and cold ranks.
  */
 import type {PlanLimits, Slowness} from './plan-types';
 
