--- a/src/experts/app.ts
+++ b/src/experts/app.ts
@@ -1,11 +1,11 @@
 /** Calls between planners and the sidecars beside the ranks. */
 import * as v from 'valibot';
 import * as rpc from '../rpc/types';
-import {DEALT_VERSION, MapCopies} from './map-copies';
+import {INITIAL_MAP_VERSION, MapCache} from './map-cache';
 import * as packing from './packing';
 import * as types from './types';
 
-const whole = v.pipe(v.number(), v.integer());
+const integer = v.pipe(v.number(), v.integer());
 
 const growthSchema = v.object({
   largest: v.number(),
@@ -16,10 +16,10 @@
 const orderSchema = v.variant('kind', [
   v.object({
     kind: v.literal('prepare'),
-    epoch: whole,
-    version: whole,
+    epoch: integer,
+    version: integer,
     /** Version of the map that `map` builds upon. */
-    base: whole,
+    base: integer,
     /** Packed: see `packing`. */
     map: v.string(),
     expectedMs: v.number(),
@@ -27,13 +27,13 @@
   }),
   v.object({
     kind: v.literal('arm'),
-    epoch: whole,
-    version: whole,
-    step: whole,
+    epoch: integer,
+    version: integer,
+    step: integer,
   }),
-  v.object({kind: v.literal('disarm'), epoch: whole, version: whole}),
-  v.object({kind: v.literal('hold'), epoch: whole, step: whole}),
-  v.object({kind: v.literal('release'), epoch: whole, step: whole}),
+  v.object({kind: v.literal('disarm'), epoch: integer, version: integer}),
+  v.object({kind: v.literal('hold'), epoch: integer, step: integer}),
+  v.object({kind: v.literal('release'), epoch: integer, step: integer}),
 ]);
 export type WireOrder = v.InferOutput<typeof orderSchema>;
 
@@ -48,7 +48,7 @@
 export const read = rpc.method(
   'experts.read',
   v.object({
-    term: whole,
+    term: integer,
     periodMs: v.number(),
     growth: v.boolean(),
     planning: v.boolean(),
@@ -66,7 +66,7 @@
 /** Gives the ranks of the called sidecar and of its members an order. */
 export const order = rpc.method(
   'experts.order',
-  v.object({term: whole, order: orderSchema, members: membersSchema}),
+  v.object({term: integer, order: orderSchema, members: membersSchema}),
   v.object({
     results: v.array(
       v.picklist([
@@ -84,7 +84,12 @@
 /** Gives another rank an order, by its target's address. */
 export const orderOther = rpc.method(
   'experts.orderOther',
-  v.object({term: whole, target: v.string(), rank: whole, order: orderSchema}),
+  v.object({
+    term: integer,
+    target: v.string(),
+    rank: integer,
+    order: orderSchema,
+  }),
   v.object({
     result: v.picklist(['done', 'refused', 'no-answer', 'deposed']),
   }),
@@ -93,7 +98,7 @@
 /** Gives other ranks an order that copies nothing, by their targets. */
 export const orderOthers = rpc.method(
   'experts.orderOthers',
-  v.object({term: whole, targets: v.array(v.string()), order: orderSchema}),
+  v.object({term: integer, targets: v.array(v.string()), order: orderSchema}),
   v.object({
     results: v.array(v.picklist(['done', 'refused', 'no-answer', 'deposed'])),
   }),
@@ -132,11 +137,11 @@
     return value;
   }
   const {map, base, ...rest} = value;
-  const isFirst = isWhole || base.version === DEALT_VERSION;
+  const isFirst = isWhole || base.version === INITIAL_MAP_VERSION;
   const against = isFirst ? packing.dealtMap(packing.shapeOf(map)) : base.map;
   return {
     ...rest,
-    base: isFirst ? DEALT_VERSION : base.version,
+    base: isFirst ? INITIAL_MAP_VERSION : base.version,
     map: packing.packMap(map, against),
   };
 }
@@ -147,7 +152,7 @@
  */
 export function orderFromWire(
   wire: WireOrder,
-  maps: MapCopies,
+  maps: MapCache,
 ): types.Order | 'refused' | 'no-base' {
   if (wire.kind !== 'prepare') {
     return wire;
@@ -165,6 +170,6 @@
   if (map === undefined) {
     return 'refused';
   }
-  maps.note(epoch, version, map);
+  maps.add(epoch, version, map);
   return {...wire, map, base: {version: base, map: against}};
 }
--- a/src/experts/branch.ts
+++ b/src/experts/branch.ts
@@ -7,22 +7,22 @@
  */
 import type {RpcClient} from '../rpc/client';
 import * as app from './app';
-import type {MapCopies} from './map-copies';
+import type {MapCache} from './map-cache';
 import * as packing from './packing';
 import type {RankAgent} from './rank-agent';
-import type {GroupView, OrderResult, ReadAnswer, ReadWish} from './types';
+import type {GroupView, OrderResult, ReadAnswer, ReadOptions} from './types';
 
 /**
  * Branches that one process calls at a time: their sums of counters come over one
  * narrow link, and fewer branches would make a tree with more levels.
  */
-export const FAN_OUT = 5;
+export const MAX_BRANCHES = 5;
 /** Longest wait for a sidecar's own reading, in milliseconds. */
 const READ_TIMEOUT_MS = 150;
 /** Longest wait for an order that copies nothing. */
 const ORDER_TIMEOUT_MS = 500;
 /** What each level of the tree may add to either. */
-const LEVEL_EXTRA_MS = 100;
+const LEVEL_TIMEOUT_MS = 100;
 
 /**
  * `silent`: the sidecar does not answer; the rank got nothing through it.
@@ -31,7 +31,7 @@
 export type BranchOrderResult = OrderResult | 'silent' | 'no-base';
 
 /** A planner's reading of a branch. */
-export interface ReadCall extends ReadWish {
+export interface ReadCall extends ReadOptions {
   readonly term: number;
   readonly periodMs: number;
   readonly view?: GroupView | undefined;
@@ -45,8 +45,8 @@
 }
 
 /** Members of one branch: the first is called, the others stand behind it. */
-export function divide<T>(members: readonly T[]): T[][] {
-  const size = Math.ceil(members.length / FAN_OUT);
+export function splitIntoBranches<T>(members: readonly T[]): T[][] {
+  const size = Math.ceil(members.length / MAX_BRANCHES);
   const branches: T[][] = [];
   for (let at = 0; at < members.length; at += size) {
     branches.push(members.slice(at, at + size));
@@ -56,16 +56,18 @@
 
 /** Levels of the tree below a head with so many members behind it. */
 function levelsBelow(behind: number): number {
-  return behind === 0 ? 0 : 1 + levelsBelow(Math.ceil(behind / FAN_OUT) - 1);
+  return behind === 0
+    ? 0
+    : 1 + levelsBelow(Math.ceil(behind / MAX_BRANCHES) - 1);
 }
 
 function readTimeoutMs(behind: number): number {
-  return READ_TIMEOUT_MS + LEVEL_EXTRA_MS * levelsBelow(behind);
+  return READ_TIMEOUT_MS + LEVEL_TIMEOUT_MS * levelsBelow(behind);
 }
 
 function orderTimeoutMs(order: app.WireOrder, behind: number): number {
   const copyMs = order.kind === 'prepare' ? order.patienceMs : 0;
-  return ORDER_TIMEOUT_MS + copyMs + LEVEL_EXTRA_MS * levelsBelow(behind);
+  return ORDER_TIMEOUT_MS + copyMs + LEVEL_TIMEOUT_MS * levelsBelow(behind);
 }
 
 /**
@@ -90,16 +92,16 @@
   );
   if (!answer.ok) {
     const rest = await readBranches(rpc, call, behind);
-    return {...rest, ranks: [SILENT, ...rest.ranks]};
+    return {...rest, ranks: [SILENT_ANSWER, ...rest.ranks]};
   }
   const {ranks, growth} = answer.value;
   return {
-    ranks: members.map((_, at) => ranks[at] ?? SILENT),
+    ranks: members.map((_, at) => ranks[at] ?? SILENT_ANSWER),
     growth: growth && packing.unpackGrowth(growth),
   };
 }
 
-const SILENT: ReadAnswer = {kind: 'silent'};
+const SILENT_ANSWER: ReadAnswer = {kind: 'silent'};
 
 /** Reads sidecars in a few branches; answers in their order. */
 async function readBranches(
@@ -108,7 +110,7 @@
   members: readonly string[],
 ): Promise<BranchReading> {
   const readings = await Promise.all(
-    divide(members).map(some => readBranch(rpc, call, some)),
+    splitIntoBranches(members).map(some => readBranch(rpc, call, some)),
   );
   let growth: Float64Array | undefined;
   for (const one of readings) {
@@ -148,7 +150,7 @@
   members: readonly string[],
 ): Promise<BranchOrderResult[]> {
   const results = await Promise.all(
-    divide(members).map(some => orderBranch(rpc, call, some)),
+    splitIntoBranches(members).map(some => orderBranch(rpc, call, some)),
   );
   return results.flat();
 }
@@ -157,7 +159,7 @@
 export class BranchHead {
   constructor(
     private readonly agent: RankAgent,
-    private readonly maps: MapCopies,
+    private readonly maps: MapCache,
     private readonly rpc: RpcClient,
   ) {}
 
--- a/src/experts/change.test.ts
+++ b/src/experts/change.test.ts
@@ -63,7 +63,7 @@
   /** Highest term that its sidecar has heard. */
   term: number;
   /** The last arm that its sidecar gave for another rank. */
-  gave: types.GivenArm | null;
+  gave: types.SentArm | null;
 }
 
 /** A group of ranks as the platform's pages describe it. */
@@ -263,7 +263,7 @@
     );
   }
 
-  orderPast(
+  orderRemotely(
     places: readonly number[],
     order: types.Order,
   ): Promise<types.OrderResult[]> {
@@ -294,7 +294,7 @@
         return 'deposed';
       }
       group.ranks[helper]!.gave = given ?? null;
-      const [result] = await beside.orderPast([place], order);
+      const [result] = await beside.orderRemotely([place], order);
       if (given !== undefined) {
         given.isConfirmed = result === 'done';
       }
--- a/src/experts/change.ts
+++ b/src/experts/change.ts
@@ -172,14 +172,14 @@
   let open = ranks.all.filter(place => place !== own && !before.has(place));
   let ends: OrderResult[] = [];
   for (let round = 0; open.length > 0 && round < ARM_ROUNDS; round += 1) {
-    ends = await ranks.orderPast(open, order);
+    ends = await ranks.orderRemotely(open, order);
     if (ends.includes('refused')) {
       return backOut(ranks, arming, holders, log);
     }
     open = open.filter((_, at) => ends[at] !== 'done');
   }
   if (open.length === 0) {
-    await ranks.orderPast(holders, {kind: 'release', epoch, step});
+    await ranks.orderRemotely(holders, {kind: 'release', epoch, step});
     return 'armed';
   }
   log.event('mapChangeStuck', {version, step, results: countOf(ends)});
@@ -202,7 +202,7 @@
   if (result !== 'done') {
     return result === 'deposed' ? 'deposed' : 'stuck';
   }
-  await ranks.orderPast(holders, {kind: 'release', epoch, step});
+  await ranks.orderRemotely(holders, {kind: 'release', epoch, step});
   return 'backed-out';
 }
 
@@ -230,7 +230,7 @@
   if (result !== 'done') {
     return result === 'deposed' ? 'deposed' : 'stuck';
   }
-  await ranks.orderPast(holders, {kind: 'release', epoch, step});
+  await ranks.orderRemotely(holders, {kind: 'release', epoch, step});
   return 'backed-out';
 }
 
@@ -304,7 +304,7 @@
     }
     if (result !== 'refused') {
       // It may be held all the same, or will be.
-      await ranks.orderPast([holder], {kind: 'release', epoch, step});
+      await ranks.orderRemotely([holder], {kind: 'release', epoch, step});
       return undefined;
     }
   }
@@ -341,7 +341,7 @@
     // Armed in part and not held: hold it before anything else.
     const holder = own === 0 ? states.length - 1 : 0;
     const hold: Order = {kind: 'hold', epoch, step};
-    const [result] = await ranks.orderPast([holder], hold);
+    const [result] = await ranks.orderRemotely([holder], hold);
     if (result !== 'done') {
       return 'not-held';
     }
@@ -470,7 +470,7 @@
     const open = states.flatMap(({armed: at, rank}) =>
       at === null ? [rank] : [],
     );
-    const ends = await ranks.orderPast(open, order);
+    const ends = await ranks.orderRemotely(open, order);
     log.event('mapChangeRecovered', {version, step, silent});
     if (ends.some(end => end !== 'done')) {
       return 'unknown';
@@ -499,7 +499,7 @@
   await Promise.all(
     states.map(async ({epoch, rank, held: step}) => {
       if (step !== null) {
-        await ranks.orderPast([rank], {kind: 'release', epoch, step});
+        await ranks.orderRemotely([rank], {kind: 'release', epoch, step});
       }
     }),
   );
--- a/src/experts/demand.ts
+++ b/src/experts/demand.ts
@@ -14,7 +14,7 @@
  * What is held against the average: the newest readings, so many at a time. The
  * more of them, the less their noise, and the later a drift is seen.
  */
-const WINDOWS = [
+const DRIFT_WINDOWS = [
   {readings: 1, noise: 0.14, factor: 1.8, margin: 0.06},
   {readings: 2, noise: 0.12, factor: 1.6, margin: 0.06},
 ] as const;
@@ -24,23 +24,23 @@
  */
 const FULL_MARGIN_NOISE = 0.07;
 /** Least distance that is a drift: under it a new map is hardly a better one. */
-const LEAST_DRIFT = 0.04;
+const MIN_DRIFT = 0.04;
 /** Weight of the newest distance in the usual one. */
-const NOISE_WEIGHT = 0.05;
+const EWMA_ALPHA = 0.05;
 /**
  * Distances after which their mean goes before what is written above: groups
  * differ by how much they work on, and a drift of a large one would pass for the
  * noise of a small one.
  */
-const LEARNT_DISTANCES = 5;
+const NOISE_WARM_UP_READINGS = 5;
 /**
  * A reading with fewer tokens than this part of the usual is too thin to be
  * held against the average alone.
  */
-const THIN_SHARE = 0.4;
+const MIN_TOKEN_SHARE = 0.4;
 
 /** What a reading told. */
-export interface DemandNote {
+export interface DemandUpdate {
   /** Share of the tokens that went elsewhere than the average says. */
   readonly distance: number;
   /** True where the average was dropped for the newest growth. */
@@ -51,32 +51,34 @@
   private sum: Float64Array | undefined;
   private lastAt = 0;
   private readonly newest: Growth[] = [];
-  private readonly noise = WINDOWS.map(one => new Noise(one.noise));
-  private usualTokens = 0;
+  private readonly noiseByWindow = DRIFT_WINDOWS.map(
+    one => new NoiseEstimate(one.noise),
+  );
+  private meanTokens = 0;
 
   constructor(private readonly sets: number) {}
 
   /** Takes the growth since the last reading; `now` is monotonic. */
-  note(growth: Growth, now: number): DemandNote {
+  update(growth: Growth, now: number): DemandUpdate {
     const keep = 0.5 ** ((now - this.lastAt) / HALF_LIFE_MS);
     if (totalOf(growth) === 0) {
       return {distance: 0, hasDrifted: false};
     }
     this.lastAt = now;
     if (this.sum === undefined || this.sum.length !== growth.length) {
-      this.startFrom([growth]);
+      this.reset([growth]);
       return {distance: 0, hasDrifted: false};
     }
-    this.keepNewest(growth);
-    const distances = WINDOWS.map((_, at) => this.distanceIn(at));
+    this.addToNewest(growth);
+    const distances = DRIFT_WINDOWS.map((_, at) => this.distanceIn(at));
     const hasDrifted = distances.some((one, at) => this.isDrift(at, one));
     const distance = Math.max(...distances.map(one => one ?? 0));
     if (hasDrifted) {
       // Of a window that spans the change, the newest part is right.
-      this.startFrom([growth]);
+      this.reset([growth]);
       return {distance, hasDrifted};
     }
-    distances.forEach((one, at) => this.noteNoise(at, one));
+    distances.forEach((one, at) => this.updateNoise(at, one));
     for (let at = 0; at < growth.length; at += 1) {
       this.sum[at] = this.sum[at]! * keep + growth[at]!;
     }
@@ -100,40 +102,40 @@
     );
   }
 
-  private startFrom(growths: readonly Growth[]): void {
+  private reset(growths: readonly Growth[]): void {
     this.sum = sumOf(growths);
     this.newest.splice(0, this.newest.length, ...growths);
   }
 
-  private keepNewest(growth: Growth): void {
+  private addToNewest(growth: Growth): void {
     this.newest.push(growth);
-    const most = WINDOWS[WINDOWS.length - 1]!.readings;
+    const most = DRIFT_WINDOWS[DRIFT_WINDOWS.length - 1]!.readings;
     this.newest.splice(0, this.newest.length - most);
     const tokens = totalOf(growth);
-    this.usualTokens += NOISE_WEIGHT * (tokens - this.usualTokens);
+    this.meanTokens += EWMA_ALPHA * (tokens - this.meanTokens);
   }
 
   /** Undefined where a window has too little in it to tell. */
   private distanceIn(at: number): number | undefined {
-    const {readings} = WINDOWS[at]!;
+    const {readings} = DRIFT_WINDOWS[at]!;
     const window = this.newest.slice(-readings);
     const tokens = window.reduce((sum, growth) => sum + totalOf(growth), 0);
-    const isThin = tokens < this.usualTokens * readings * THIN_SHARE;
+    const isThin = tokens < this.meanTokens * readings * MIN_TOKEN_SHARE;
     return window.length < readings || isThin
       ? undefined
       : this.distanceTo(window);
   }
 
   private isDrift(at: number, distance: number | undefined): boolean {
-    const {factor, margin} = WINDOWS[at]!;
-    const {usual} = this.noise[at]!;
+    const {factor, margin} = DRIFT_WINDOWS[at]!;
+    const {mean: usual} = this.noiseByWindow[at]!;
     const added = margin * Math.min(usual / FULL_MARGIN_NOISE, 1);
-    return (distance ?? 0) > Math.max(usual * factor + added, LEAST_DRIFT);
+    return (distance ?? 0) > Math.max(usual * factor + added, MIN_DRIFT);
   }
 
-  private noteNoise(at: number, distance: number | undefined): void {
+  private updateNoise(at: number, distance: number | undefined): void {
     if (distance !== undefined) {
-      this.noise[at]!.note(distance);
+      this.noiseByWindow[at]!.update(distance);
     }
   }
 
@@ -157,22 +159,22 @@
 }
 
 /** How far readings usually are from the average of those before. */
-class Noise {
+class NoiseEstimate {
   private sum = 0;
   private count = 0;
 
   /** `usual`: until enough was seen. */
-  constructor(public usual: number) {}
+  constructor(public mean: number) {}
 
-  note(distance: number): void {
+  update(distance: number): void {
     this.count += 1;
-    if (this.count > LEARNT_DISTANCES) {
-      this.usual += NOISE_WEIGHT * (distance - this.usual);
+    if (this.count > NOISE_WARM_UP_READINGS) {
+      this.mean += EWMA_ALPHA * (distance - this.mean);
       return;
     }
     this.sum += distance;
-    if (this.count === LEARNT_DISTANCES) {
-      this.usual = this.sum / this.count;
+    if (this.count === NOISE_WARM_UP_READINGS) {
+      this.mean = this.sum / this.count;
     }
   }
 }
--- a/src/experts/group-links.test.ts
+++ b/src/experts/group-client.test.ts
@@ -3,9 +3,14 @@
 import * as httpServer from '../http/server';
 import {SILENT_LOG} from '../observability/log';
 import * as app from './app';
-import {BranchHead, FAN_OUT} from './branch';
-import {MapCopies} from './map-copies';
-import {GroupLinks, Member, PLANNING, SAMPLED_RANKS} from './group-links';
+import {BranchHead, MAX_BRANCHES} from './branch';
+import {MapCache} from './map-cache';
+import {
+  GroupClient,
+  Member,
+  PLANNING_READ,
+  MAX_SAMPLED_RANKS,
+} from './group-client';
 import * as packing from './packing';
 import {RankAgent} from './rank-agent';
 import * as types from './types';
@@ -18,7 +23,7 @@
 class FakeEngine extends types.Engine {
   readonly orders: types.Order[] = [];
   private prepared: number | null = null;
-  private looks = 0;
+  private readings = 0;
 
   constructor(
     private readonly rank: number,
@@ -46,15 +51,15 @@
   }
 
   async counts() {
-    this.looks += 1;
+    this.readings += 1;
     const values = Array.from(
       {length: EXPERTS},
-      (_, expert) => this.looks * expert * 10,
+      (_, expert) => this.readings * expert * 10,
     );
     return ok({born: undefined, values});
   }
 
-  async held() {
+  async heldExperts() {
     return ok({version: 0, experts: [[this.rank]]});
   }
 
@@ -104,7 +109,7 @@
   readonly engine: FakeEngine;
   readonly agent: RankAgent;
   readonly client: RpcClient;
-  readonly maps: MapCopies;
+  readonly mapCache: MapCache;
   /** Engines of other ranks that it was told to order, by target. */
   readonly others: ReadonlyMap<string, FakeEngine>;
   /** From now on it answers nothing. */
@@ -126,8 +131,8 @@
     SILENT_LOG,
   );
   const client = new RpcClient();
-  const maps = new MapCopies();
-  const head = new BranchHead(agent, maps, client);
+  const mapCache = new MapCache();
+  const head = new BranchHead(agent, mapCache, client);
   const rpc = new RpcServer(SILENT_LOG);
   rpc.handle(app.read, async call => {
     const {ranks, growth} = await head.read(call);
@@ -137,7 +142,7 @@
     results: await head.order(term, order, members),
   }));
   rpc.handle(app.orderOthers, async ({term, targets, order}) => {
-    const read = app.orderFromWire(order, maps);
+    const read = app.orderFromWire(order, mapCache);
     return {
       results:
         typeof read === 'string'
@@ -163,7 +168,7 @@
     engine,
     agent,
     client,
-    maps,
+    mapCache: mapCache,
     others,
     stall: () => (isStalled = true),
     close: async () => {
@@ -175,7 +180,7 @@
 
 describe.each([5, 30, 129])('a planner of a group of %i ranks', size => {
   let sidecars: Sidecar[];
-  let links: GroupLinks;
+  let links: GroupClient;
   let rpc: RpcClient;
   let term: number;
   /** Orders given past sidecars, by target. */
@@ -188,7 +193,7 @@
     rpc = new RpcClient();
     term = 7;
     direct = new Map();
-    links = new GroupLinks({
+    links = new GroupClient({
       rpc,
       term: () => term,
       periodMs: () => 100,
@@ -210,10 +215,10 @@
     await Promise.all(sidecars.map(one => one.close()));
   });
 
-  const growthWish = PLANNING;
+  const growthWish = PLANNING_READ;
 
   /** Ranks whose counters are read. */
-  const sampled = Math.ceil(size / Math.ceil(size / SAMPLED_RANKS));
+  const sampled = Math.ceil(size / Math.ceil(size / MAX_SAMPLED_RANKS));
 
   it('reads every rank, and the growth of all or of a part', async () => {
     await links.read(growthWish);
@@ -234,7 +239,7 @@
     const trees = sampled < size ? 2 : 1;
     expect(called).toHaveBeenCalledTimes(HALLS * trees);
     passedOn.forEach(spy =>
-      expect(spy.mock.calls.length).toBeLessThanOrEqual(FAN_OUT),
+      expect(spy.mock.calls.length).toBeLessThanOrEqual(MAX_BRANCHES),
     );
     const total = passedOn.reduce((sum, spy) => sum + spy.mock.calls.length, 0);
     expect(total + HALLS * trees).toBe(size);
@@ -306,7 +311,7 @@
     const next = map.map(held =>
       held.map((experts, rank) => (rank === 1 ? [0, 1, 2] : [...experts])),
     );
-    sidecars[2]!.maps.forget();
+    sidecars[2]!.mapCache.clear();
     const again = prepare(6, {version: 5, map}, next);
     const results = await ranks.order(ranks.all, again);
     expect(new Set(results)).toEqual(new Set(['done']));
@@ -321,7 +326,7 @@
   it('orders past the sidecars, none of which orders its own rank', async () => {
     const ranks = links.ranksOf(await links.readAll())!;
     const order: types.Order = {kind: 'arm', epoch: 1, version: 5, step: 9};
-    const results = await ranks.orderPast(ranks.all, order);
+    const results = await ranks.orderRemotely(ranks.all, order);
     expect(results).toEqual(sidecars.map(() => 'done'));
     sidecars.forEach(one => expect(one.engine.orders).toEqual([]));
     const counts = new Map<string, number>();
@@ -336,7 +341,7 @@
     });
     expect([...counts.values()]).toEqual(sidecars.map(() => 1));
     const most = Math.max(...sidecars.map(one => one.others.size), direct.size);
-    const few = Math.max(Math.ceil(Math.sqrt(size)), FAN_OUT);
+    const few = Math.max(Math.ceil(Math.sqrt(size)), MAX_BRANCHES);
     expect(most).toBeLessThanOrEqual(few);
   });
 
@@ -344,7 +349,7 @@
     const ranks = links.ranksOf(await links.readAll())!;
     await sidecars[0]!.close();
     const order: types.Order = {kind: 'arm', epoch: 1, version: 5, step: 9};
-    const results = await ranks.orderPast(ranks.all, order);
+    const results = await ranks.orderRemotely(ranks.all, order);
     expect(results).toEqual(sidecars.map(() => 'done'));
   });
 
--- a/src/experts/group-links.ts
+++ b/src/experts/group-client.ts
@@ -16,7 +16,7 @@
   RankReading,
   RankState,
   Ranks,
-  ReadWish,
+  ReadOptions,
 } from './types';
 
 /**
@@ -29,18 +29,22 @@
  * alike, so a part of them tells what all are asked for, and counters are the most
  * of what a reading brings over narrow links.
  */
-export const SAMPLED_RANKS = 32;
+export const MAX_SAMPLED_RANKS = 32;
 /** Pause before a silent sidecar is called again, in milliseconds. */
-const SILENT_PAUSE_MS = 400;
+const SILENT_RETRY_INTERVAL_MS = 400;
 
 /** Asks for the states alone. */
-export const STATES_ONLY: ReadWish = {
+export const STATES_ONLY: ReadOptions = {
   growth: false,
   planning: false,
   held: false,
 };
 /** What a planner asks for once nothing is left of another's change. */
-export const PLANNING: ReadWish = {growth: true, planning: true, held: false};
+export const PLANNING_READ: ReadOptions = {
+  growth: true,
+  planning: true,
+  held: false,
+};
 
 /** One sidecar of the group. */
 export interface Member {
@@ -60,7 +64,7 @@
 }
 
 /** What reaching a group needs. */
-export interface LinksContext {
+export interface GroupClientContext {
   readonly rpc: RpcClient;
   term(): number;
   /** Milliseconds between readings, told to the sidecars. */
@@ -70,15 +74,15 @@
   makeEngine(target: string): Engine;
 }
 
-export class GroupLinks {
+export class GroupClient {
   private members: readonly Member[] = [];
   /** Members whose counters are read. */
   private sample: ReadonlySet<Member> = new Set();
   private readonly engines = new Map<string, Engine>();
   /** Sidecars that did not answer, and when they were called last. */
-  private readonly silent = new Map<string, number>();
+  private readonly lastCallToSilent = new Map<string, number>();
 
-  constructor(private readonly context: LinksContext) {}
+  constructor(private readonly context: GroupClientContext) {}
 
   get size(): number {
     return this.members.length;
@@ -86,7 +90,7 @@
 
   setMembers(members: readonly Member[]): void {
     this.members = members;
-    this.sample = sampleOf(members);
+    this.sample = sampleMembers(members);
     const targets = new Set(members.map(member => member.target));
     for (const [target, engine] of this.engines) {
       if (!targets.has(target)) {
@@ -95,34 +99,34 @@
       }
     }
     const sidecars = new Set(members.map(member => member.sidecar));
-    for (const sidecar of this.silent.keys()) {
+    for (const sidecar of this.lastCallToSilent.keys()) {
       if (!sidecars.has(sidecar)) {
-        this.silent.delete(sidecar);
+        this.lastCallToSilent.delete(sidecar);
       }
     }
   }
 
-  isHeard(sidecar: string): boolean {
-    return !this.silent.has(sidecar);
+  isResponsive(sidecar: string): boolean {
+    return !this.lastCallToSilent.has(sidecar);
   }
 
   /**
    * Reads every sidecar that is heard. Silent ones are called aside now and
    * then, so that one that stands still costs a reading its time-out once.
    */
-  async read(wish: ReadWish): Promise<GroupReading> {
+  async read(wish: ReadOptions): Promise<GroupReading> {
     const now = performance.now();
-    for (const [sidecar, at] of this.silent) {
+    for (const [sidecar, at] of this.lastCallToSilent) {
       const member = this.members.find(one => one.sidecar === sidecar);
       if (member === undefined) {
         // It fell silent as it was taken off the list.
-        this.silent.delete(sidecar);
-      } else if (now - at > SILENT_PAUSE_MS) {
-        this.silent.set(sidecar, now);
+        this.lastCallToSilent.delete(sidecar);
+      } else if (now - at > SILENT_RETRY_INTERVAL_MS) {
+        this.lastCallToSilent.set(sidecar, now);
         void this.readMembers([member], STATES_ONLY);
       }
     }
-    const heard = this.members.filter(one => this.isHeard(one.sidecar));
+    const heard = this.members.filter(one => this.isResponsive(one.sidecar));
     if (!wish.growth) {
       return this.readMembers(heard, wish);
     }
@@ -148,13 +152,13 @@
    * charges for.
    */
   async readAll(): Promise<GroupReading> {
-    const wish: ReadWish = {...STATES_ONLY, held: true};
-    this.silent.clear();
+    const wish: ReadOptions = {...STATES_ONLY, held: true};
+    this.lastCallToSilent.clear();
     const reading = await this.read(wish);
     const ranks = new Map(reading.ranks);
     await Promise.all(
       this.members
-        .filter(member => this.silent.has(member.sidecar))
+        .filter(member => this.lastCallToSilent.has(member.sidecar))
         .map(async member => {
           const read = await agent.readRank(this.engineOf(member), true);
           if (read !== undefined) {
@@ -168,11 +172,11 @@
   /** The ranks of a reading, where it covers one open group. */
   ranksOf(reading: GroupReading): GroupRanks | undefined {
     const states = [...reading.ranks.values()].map(one => one.state);
-    return isWhole(states) ? this.someRanksOf(reading) : undefined;
+    return isCompleteGroup(states) ? this.partialRanksOf(reading) : undefined;
   }
 
   /** The ranks of a reading; places that it lacks must not be asked for. */
-  someRanksOf(reading: GroupReading): GroupRanks {
+  partialRanksOf(reading: GroupReading): GroupRanks {
     const byRank: Member[] = [];
     for (const member of this.members) {
       const state = reading.ranks.get(member.sidecar)?.state;
@@ -188,13 +192,13 @@
     members: readonly Member[],
     order: Order,
   ): Promise<OrderResult[]> {
-    const results = await this.orderTree(members, app.orderToWire(order));
+    const results = await this.orderInBranches(members, app.orderToWire(order));
     const without = members.filter(
       member => results.get(member.sidecar) === 'no-base',
     );
     if (without.length > 0) {
       const wire = app.orderToWire(order, true);
-      const again = await this.orderTree(without, wire);
+      const again = await this.orderInBranches(without, wire);
       again.forEach((result, sidecar) => results.set(sidecar, result));
     }
     return Promise.all(
@@ -214,12 +218,12 @@
    * here. Of many the first of each branch are, and then their sidecars order
    * the rest: the group is held until the last has its order.
    */
-  async orderPast(
+  async orderRemotely(
     members: readonly Member[],
     order: Order,
   ): Promise<OrderResult[]> {
     const size = Math.ceil(Math.sqrt(members.length));
-    if (size <= branch.FAN_OUT) {
+    if (size <= branch.MAX_BRANCHES) {
       return this.orderEngines(members, order);
     }
     const branches: Member[][] = [];
@@ -232,7 +236,7 @@
     );
     const rest = await Promise.all(
       branches.map(([head, ...others]) =>
-        this.orderBehind(head!, others, order),
+        this.orderViaSidecar(head!, others, order),
       ),
     );
     return branches.flatMap((_, at) => [first[at]!, ...rest[at]!]);
@@ -246,12 +250,12 @@
   }
 
   /** Has a sidecar order ranks that are not its own. */
-  private async orderBehind(
+  private async orderViaSidecar(
     head: Member,
     others: readonly Member[],
     order: Order,
   ): Promise<OrderResult[]> {
-    const answer = this.isHeard(head.sidecar)
+    const answer = this.isResponsive(head.sidecar)
       ? await this.context.rpc.call(
           head.sidecar,
           app.orderOthers,
@@ -266,7 +270,7 @@
     if (answer?.ok && answer.value.results.length === others.length) {
       return answer.value.results;
     }
-    this.note(head.sidecar, false);
+    this.recordAnswer(head.sidecar, false);
     return this.orderEngines(others, order);
   }
 
@@ -284,7 +288,7 @@
       {term: this.context.term(), target: member.target, rank, order: wire},
       HELPER_TIMEOUT_MS,
     );
-    this.note(helper.sidecar, answer.ok);
+    this.recordAnswer(helper.sidecar, answer.ok);
     return answer.ok ? answer.value.result : 'no-answer';
   }
 
@@ -296,7 +300,7 @@
       members.map(async member => {
         const reading =
           ranks.get(member.sidecar) ??
-          (this.isHeard(member.sidecar)
+          (this.isResponsive(member.sidecar)
             ? undefined
             : await agent.readRank(this.engineOf(member), false));
         return reading?.state;
@@ -312,7 +316,7 @@
   /** Reads some members through their sidecars. */
   private async readMembers(
     members: readonly Member[],
-    wish: ReadWish,
+    wish: ReadOptions,
   ): Promise<GroupReading> {
     const {rpc, term, periodMs, view} = this.context;
     const call = {...wish, term: term(), periodMs: periodMs(), view: view()};
@@ -324,7 +328,7 @@
         const round = await branch.readBranch(rpc, call, sidecars);
         round.ranks.forEach((answer, at) => {
           const sidecar = sidecars[at]!;
-          this.note(sidecar, answer.kind !== 'silent');
+          this.recordAnswer(sidecar, answer.kind !== 'silent');
           if (answer.kind === 'read') {
             ranks.set(sidecar, answer.reading);
           }
@@ -339,7 +343,7 @@
   }
 
   /** Orders some members through their sidecars; results by sidecar. */
-  private async orderTree(
+  private async orderInBranches(
     members: readonly Member[],
     order: app.WireOrder,
   ): Promise<Map<string, branch.BranchOrderResult>> {
@@ -351,7 +355,7 @@
         const ends = await branch.orderBranch(rpc, call, sidecars);
         ends.forEach((end, at) => {
           results.set(sidecars[at]!, end);
-          this.note(sidecars[at]!, end !== 'silent');
+          this.recordAnswer(sidecars[at]!, end !== 'silent');
         });
       }),
     );
@@ -372,16 +376,16 @@
       byHall.set(hall, held);
     }
     const halls = [...byHall.values()].map(sidecars => [
-      ...sidecars.filter(one => this.isHeard(one)),
-      ...sidecars.filter(one => !this.isHeard(one)),
+      ...sidecars.filter(one => this.isResponsive(one)),
+      ...sidecars.filter(one => !this.isResponsive(one)),
     ]);
     const [only] = halls;
-    return halls.length === 1 ? branch.divide(only!) : halls;
+    return halls.length === 1 ? branch.splitIntoBranches(only!) : halls;
   }
 
   /** Past a sidecar; the platform charges for it. */
   private orderEngine(member: Member, order: Order): Promise<OrderResult> {
-    return agent.carryOut(this.engineOf(member), order);
+    return agent.executeOrder(this.engineOf(member), order);
   }
 
   private engineOf(member: Member): Engine {
@@ -393,11 +397,11 @@
     return engine;
   }
 
-  private note(sidecar: string, isHeard: boolean): void {
+  private recordAnswer(sidecar: string, isHeard: boolean): void {
     if (isHeard) {
-      this.silent.delete(sidecar);
+      this.lastCallToSilent.delete(sidecar);
     } else {
-      this.silent.set(sidecar, performance.now());
+      this.lastCallToSilent.set(sidecar, performance.now());
     }
   }
 }
@@ -405,7 +409,7 @@
 /** Members of a group in the order of their ranks. */
 export class GroupRanks extends Ranks {
   constructor(
-    private readonly links: GroupLinks,
+    private readonly client: GroupClient,
     private readonly members: readonly Member[],
   ) {
     super();
@@ -416,25 +420,25 @@
   }
 
   readStates(places: readonly number[]) {
-    return this.links.readStates(places.map(place => this.members[place]!));
+    return this.client.readStates(places.map(place => this.members[place]!));
   }
 
   order(places: readonly number[], order: Order) {
-    return this.links.orderMembers(
+    return this.client.orderMembers(
       places.map(place => this.members[place]!),
       order,
     );
   }
 
-  orderPast(places: readonly number[], order: Order) {
-    return this.links.orderPast(
+  orderRemotely(places: readonly number[], order: Order) {
+    return this.client.orderRemotely(
       places.map(place => this.members[place]!),
       order,
     );
   }
 
   orderThrough(helper: number, place: number, order: Order) {
-    return this.links.orderThrough(
+    return this.client.orderThrough(
       this.members[helper]!,
       this.members[place]!,
       place,
@@ -448,21 +452,21 @@
   }
 
   /** Places whose sidecars answer. */
-  get heard(): number[] {
+  get responsive(): number[] {
     return this.all.filter(place =>
-      this.links.isHeard(this.members[place]!.sidecar),
+      this.client.isResponsive(this.members[place]!.sidecar),
     );
   }
 }
 
 /** Some members at even distances, or all of few. */
-function sampleOf(members: readonly Member[]): Set<Member> {
-  const every = Math.ceil(members.length / SAMPLED_RANKS);
+function sampleMembers(members: readonly Member[]): Set<Member> {
+  const every = Math.ceil(members.length / MAX_SAMPLED_RANKS);
   return new Set(members.filter((_, at) => at % every === 0));
 }
 
 /** True where the states are those of one open group, each rank once. */
-function isWhole(states: readonly RankState[]): boolean {
+function isCompleteGroup(states: readonly RankState[]): boolean {
   const [first] = states;
   return (
     first !== undefined &&
--- a/src/experts/group-member.ts
+++ b/src/experts/group-member.ts
@@ -14,27 +14,27 @@
 import type {SiteDocuments} from '../roles/site-documents';
 import type {Target} from '../forwarding/types';
 import * as app from './app';
-import {GroupLinks} from './group-links';
+import {GroupClient} from './group-client';
 import {GroupPlanner} from './planner';
 import type {RankAgent} from './rank-agent';
-import {Seat, SeatContext} from './seat';
+import {PlannerElection, ElectionContext} from './planner-election';
 import type {Engine, RankState} from './types';
 
 /** Longest wait for a member's word on that, in milliseconds. */
-const ASK_TIMEOUT_MS = 80;
+const HEARING_TIMEOUT_MS = 80;
 /** Milliseconds that the planner's watches wait for a change. */
-const WATCH_WAIT_MS = 25_000;
+const WATCH_TIMEOUT_MS = 25_000;
 /** Members that are asked for their word; more would tell no more. */
-const MOST_ASKED = 12;
+const MAX_ASKED_MEMBERS = 12;
 /**
  * Time that a planner has to be heard by a process that has just started, in
  * milliseconds: some of its readings.
  */
-const FIRST_TURN_MS = 200;
+const STARTUP_DELAY_MS = 200;
 /** Time between members' turns at a seat that is free, in milliseconds. */
-const TURN_MS = 50;
+const RANK_DELAY_MS = 50;
 /** Pause between questions to an engine that is no rank yet. */
-const NO_RANK_PAUSE_MS = 200;
+const RANK_POLL_INTERVAL_MS = 200;
 
 /** What a member needs of its process. */
 export interface MemberContext {
@@ -53,22 +53,22 @@
   readonly metrics: Metrics;
 }
 
-export class GroupMember extends SeatContext {
-  private readonly links: GroupLinks;
+export class GroupMember extends ElectionContext {
+  private readonly groupClient: GroupClient;
   private readonly planner: GroupPlanner;
-  private seat: Seat | undefined;
+  private election: PlannerElection | undefined;
   private group = '';
   private rank = 0;
   private members: readonly Target[] = [];
   private figures: ExpertFigures | undefined;
-  private loops: readonly WatchLoop[] = [];
+  private watches: readonly WatchLoop[] = [];
   private isClosed = false;
 
   constructor(private readonly context: MemberContext) {
     super();
-    this.links = new GroupLinks({
+    this.groupClient = new GroupClient({
       rpc: context.rpc,
-      term: () => this.seat?.term ?? 0,
+      term: () => this.election?.term ?? 0,
       periodMs: () => this.planner.periodMs,
       view: () => this.planner.view,
       makeEngine: target => context.documents.makeEngine(target),
@@ -76,13 +76,13 @@
     this.planner = new GroupPlanner({
       group: context.service,
       figures: () => this.figures,
-      links: this.links,
-      term: () => this.seat?.term ?? 0,
+      links: this.groupClient,
+      term: () => this.election?.term ?? 0,
       ownRank: () => this.rank,
       ownState: () => this.readOwnState(),
-      formerRank: () => this.seat?.formerRank,
-      onDeposed: () => this.seat?.lose(),
-      onTick: () => this.followWhileHolding(),
+      formerRank: () => this.election?.previousRank,
+      onDeposed: () => this.election?.stepDown(),
+      onTick: () => this.updateWatches(),
       log: context.log,
       metrics: context.metrics,
     });
@@ -98,7 +98,7 @@
         this.rank = state.value.rank;
         break;
       }
-      await sleep(NO_RANK_PAUSE_MS);
+      await sleep(RANK_POLL_INTERVAL_MS);
     }
     if (this.isClosed) {
       return;
@@ -106,7 +106,7 @@
     void context.agent.primeCounters();
     const {documents, service, id, life, store, log} = context;
     const key = `${documents.seatKind}/${service}.${this.group}`;
-    this.seat = new Seat(
+    this.election = new PlannerElection(
       key,
       {holder: id, life, rank: this.rank},
       this,
@@ -114,7 +114,7 @@
       log,
     );
     this.planner.start();
-    await this.seat.run();
+    await this.election.run();
   }
 
   heardTerm(): number {
@@ -125,34 +125,32 @@
     return this.context.agent.isPlannerHeard;
   }
 
-  turnMs(): number {
-    const {hasHeard} = this.context.agent;
-    return this.rank * TURN_MS + (hasHeard ? 0 : FIRST_TURN_MS);
+  electionDelayMs(): number {
+    const {hasHeardPlanner: hasHeard} = this.context.agent;
+    return this.rank * RANK_DELAY_MS + (hasHeard ? 0 : STARTUP_DELAY_MS);
   }
 
-  onTaken(): void {
-    this.followWhileHolding();
+  onElected(): void {
+    this.updateWatches();
     this.planner.wake();
   }
 
-  async mayTake(): Promise<boolean> {
+  async canBecomePlanner(): Promise<boolean> {
     const listing = await this.context.store.list(
       `${this.context.documents.targetsKind}/`,
     );
     if (!listing.ok) {
       return false;
     }
-    this.takeMembers(
-      listing.value.items.flatMap(item => this.readTarget(item)),
-    );
-    const asked = random.sample(this.members, MOST_ASKED);
+    this.setMembers(listing.value.items.flatMap(item => this.readTarget(item)));
+    const asked = random.sample(this.members, MAX_ASKED_MEMBERS);
     const answers = await Promise.all(
       asked.map(target =>
         this.context.rpc.call(
           this.sidecarOf(target),
           app.hearing,
           {},
-          ASK_TIMEOUT_MS,
+          HEARING_TIMEOUT_MS,
         ),
       ),
     );
@@ -166,33 +164,33 @@
   async close(): Promise<void> {
     this.isClosed = true;
     this.planner.close();
-    this.loops.forEach(loop => loop.close());
-    await this.seat?.close();
-    this.links.close();
+    this.watches.forEach(loop => loop.close());
+    await this.election?.close();
+    this.groupClient.close();
   }
 
   /** Only the planner follows the store. */
-  private followWhileHolding(): void {
-    const isHolding = (this.seat?.term ?? 0) !== 0;
-    if (isHolding && this.loops.length === 0 && !this.isClosed) {
-      this.loops = this.openLoops();
-    } else if (!isHolding && this.loops.length > 0) {
-      this.loops.forEach(loop => loop.close());
-      this.loops = [];
+  private updateWatches(): void {
+    const isHolding = (this.election?.term ?? 0) !== 0;
+    if (isHolding && this.watches.length === 0 && !this.isClosed) {
+      this.watches = this.startWatches();
+    } else if (!isHolding && this.watches.length > 0) {
+      this.watches.forEach(loop => loop.close());
+      this.watches = [];
     }
   }
 
-  private openLoops(): WatchLoop[] {
+  private startWatches(): WatchLoop[] {
     const {documents, store} = this.context;
     const targets = new WatchLoop(
       store,
       documents.targetsKind,
-      () => WATCH_WAIT_MS,
+      () => WATCH_TIMEOUT_MS,
     );
     const configuration = new WatchLoop(
       store,
       documents.configurationKind,
-      () => WATCH_WAIT_MS,
+      () => WATCH_TIMEOUT_MS,
     );
     targets.events.subscribe(event => this.onTargets(event));
     configuration.events.subscribe(event => this.onConfiguration(event));
@@ -216,7 +214,7 @@
     const kept = this.members.filter(
       ({id}) => !read.has(id) && named.has(id) === isListed,
     );
-    this.takeMembers([...kept, ...found]);
+    this.setMembers([...kept, ...found]);
   }
 
   private onConfiguration(event: WatchEvent): void {
@@ -245,7 +243,7 @@
   }
 
   /** A rank's newest life is the one that counts at its address. */
-  private takeMembers(targets: readonly Target[]): void {
+  private setMembers(targets: readonly Target[]): void {
     const byAddress = new Map<string, Target>();
     for (const target of targets) {
       const isMember =
@@ -256,7 +254,7 @@
       }
     }
     this.members = [...byAddress.values()];
-    this.links.setMembers(
+    this.groupClient.setMembers(
       this.members.map(target => ({
         target: target.address,
         sidecar: this.sidecarOf(target),
--- a/src/experts/map-copies.ts
+++ b/src/experts/map-cache.ts
@@ -7,33 +7,33 @@
 import type {ExpertMap} from './types';
 
 /** The map that every group starts with has this version. */
-export const DEALT_VERSION = 0;
+export const INITIAL_MAP_VERSION = 0;
 /**
  * Maps kept: the one in force, the one prepared, and one or two that were
  * given up between them.
  */
-const MOST_MAPS = 4;
+const MAX_MAPS = 4;
 
-interface Copy {
+interface CachedMap {
   readonly epoch: number;
   readonly version: number;
   readonly map: ExpertMap;
 }
 
 /** The maps that one sidecar was told last. */
-export class MapCopies {
-  private copies: Copy[] = [];
+export class MapCache {
+  private cached: CachedMap[] = [];
 
-  note(epoch: number, version: number, map: ExpertMap): void {
-    const others = this.copies.filter(
+  add(epoch: number, version: number, map: ExpertMap): void {
+    const others = this.cached.filter(
       copy => copy.epoch === epoch && copy.version !== version,
     );
-    this.copies = [{epoch, version, map}, ...others].slice(0, MOST_MAPS);
+    this.cached = [{epoch, version, map}, ...others].slice(0, MAX_MAPS);
   }
 
   /** As after a start of the process. */
-  forget(): void {
-    this.copies = [];
+  clear(): void {
+    this.cached = [];
   }
 
   /** Undefined where the map is not known, or not known any more. */
@@ -42,9 +42,9 @@
     version: number,
     shape: packing.MapShape,
   ): ExpertMap | undefined {
-    return version === DEALT_VERSION
+    return version === INITIAL_MAP_VERSION
       ? packing.dealtMap(shape)
-      : this.copies.find(
+      : this.cached.find(
           copy => copy.epoch === epoch && copy.version === version,
         )?.map;
   }
--- a/src/experts/map-changer.ts
+++ b/src/experts/map-changer.ts
@@ -7,8 +7,8 @@
 import * as random from '../random';
 import type {ExpertFigures} from '../routes/types';
 import * as mapChange from './change';
-import type {GroupLinks, GroupRanks} from './group-links';
-import {MOST_PASSES_AHEAD, PassClock} from './pass-clock';
+import type {GroupClient, GroupRanks} from './group-client';
+import {MAX_PASSES_AHEAD, PassClock} from './pass-clock';
 import type {MapPlan} from './plan';
 import type {ExpertMap, RankReading, RankState} from './types';
 
@@ -35,7 +35,7 @@
   readonly group: string;
   /** Undefined until the configuration is known. */
   figures(): ExpertFigures | undefined;
-  readonly links: GroupLinks;
+  readonly links: GroupClient;
   /** 0 while another process plans. */
   term(): number;
   /** The rank beside this process. */
@@ -99,7 +99,7 @@
       this.spentEpoch = epoch;
       this.trace.spentStep = 0;
     }
-    const spent = isLeft ? step + MOST_PASSES_AHEAD + 1 : step;
+    const spent = isLeft ? step + MAX_PASSES_AHEAD + 1 : step;
     this.trace.spentStep = Math.max(this.trace.spentStep, spent);
   }
 
@@ -183,7 +183,7 @@
   private async notePass(): Promise<void> {
     const own = await this.context.ownState();
     if (own !== undefined) {
-      this.passes.note(own.step, performance.now());
+      this.passes.record(own.step, performance.now());
     }
   }
 
@@ -201,7 +201,7 @@
   ranks: GroupRanks,
   own: number,
 ): {holder: number; helper: number} {
-  const heard = ranks.heard.filter(place => place !== own);
+  const heard = ranks.responsive.filter(place => place !== own);
   const others = heard.length > 1 ? heard : ranks.all.filter(at => at !== own);
   const [holder = own, helper = holder] = random.sample(others, 2);
   return {holder, helper};
--- a/src/experts/pass-clock.test.ts
+++ b/src/experts/pass-clock.test.ts
@@ -4,7 +4,7 @@
 function steadyClock(): PassClock {
   const clock = new PassClock();
   for (let step = 0; step <= 40; step += 1) {
-    clock.note(step, 1_000 - (40 - step) * 100);
+    clock.record(step, 1_000 - (40 - step) * 100);
   }
   return clock;
 }
@@ -28,7 +28,7 @@
 
   it('passes over an idle time', () => {
     const clock = steadyClock();
-    clock.note(41, 9_000);
+    clock.record(41, 9_000);
     expect(clock.passMs).toBeCloseTo(100, 0);
   });
 });
--- a/src/experts/pass-clock.ts
+++ b/src/experts/pass-clock.ts
@@ -1,25 +1,25 @@
 /** How long the passes of a group take, from what its step counter shows. */
 
 /** Weight of the newest time in the mean. */
-const NEW_WEIGHT = 0.3;
+const EWMA_ALPHA = 0.3;
 /** Taken until two readings tell, in milliseconds. */
-const FIRST_PASS_MS = 80;
+const INITIAL_PASS_MS = 80;
 /** An idle group's step stands still; longer times tell nothing. */
-const LONGEST_PASS_MS = 1_000;
+const MAX_PASS_MS = 1_000;
 /** More is never needed, and would delay the change of a fast group. */
-export const MOST_PASSES_AHEAD = 8;
+export const MAX_PASSES_AHEAD = 8;
 
 export class PassClock {
   private last: {readonly step: number; readonly at: number} | undefined;
-  private meanMs = FIRST_PASS_MS;
+  private meanMs = INITIAL_PASS_MS;
 
   /** Takes the pass that began last; `now` is monotonic. */
-  note(step: number, now: number): void {
+  record(step: number, now: number): void {
     const {last} = this;
     if (last !== undefined && step > last.step) {
       const ms = (now - last.at) / (step - last.step);
-      if (ms < LONGEST_PASS_MS) {
-        this.meanMs += NEW_WEIGHT * (ms - this.meanMs);
+      if (ms < MAX_PASS_MS) {
+        this.meanMs += EWMA_ALPHA * (ms - this.meanMs);
       }
     }
     if (last === undefined || step !== last.step) {
@@ -40,6 +40,6 @@
     // A pass that takes longer than most is about to end.
     const elapsedMs = Math.min(sinceLastMs, this.meanMs);
     const passes = Math.floor((elapsedMs + ms) / this.meanMs);
-    return Math.min(passes, MOST_PASSES_AHEAD);
+    return Math.min(passes, MAX_PASSES_AHEAD);
   }
 }
--- a/src/experts/seat.ts
+++ b/src/experts/planner-election.ts
@@ -11,17 +11,17 @@
 import * as random from '../random';
 
 /** Milliseconds between looks whether a planner is heard. */
-const LOOK_MS = 80;
+const CHECK_INTERVAL_MS = 80;
 /** Pause after the store or the other members did not answer. */
-const FAILED_PAUSE_MS = 500;
+const MIN_BACKOFF_MS = 500;
 /** The longest such pause; it doubles while a member fails. */
-const LONGEST_PAUSE_MS = 4_000;
+const MAX_BACKOFF_MS = 4_000;
 /** Time for a new holder to be heard. */
-const NEW_HOLDER_PAUSE_MS = 150;
+const NEW_PLANNER_GRACE_MS = 150;
 /** Head start of the others for a seat that was just lost. */
-const AFTER_LOSS_PAUSE_MS = 900;
+const STEP_DOWN_COOLDOWN_MS = 900;
 
-const seatSchema = v.object({
+const plannerRecordSchema = v.object({
   holder: v.string(),
   /** Names one life of the holder. */
   life: v.string(),
@@ -31,40 +31,40 @@
 /** Nobody holds the seat. */
 const NO_RANK = -1;
 
-type SeatValue = v.InferOutput<typeof seatSchema>;
+type PlannerRecord = v.InferOutput<typeof plannerRecordSchema>;
 
 /** What a seat asks of the member of the group that wants it. */
-export abstract class SeatContext {
+export abstract class ElectionContext {
   /** Highest term of a planner that was heard. */
   abstract heardTerm(): number;
   /** True while a planner has been heard lately. */
   abstract isPlannerHeard(): boolean;
   /** True where most members are reached and none hears a planner. */
-  abstract mayTake(): Promise<boolean>;
+  abstract canBecomePlanner(): Promise<boolean>;
   /** Milliseconds that members before this one have to take the seat. */
-  abstract turnMs(): number;
+  abstract electionDelayMs(): number;
   /** The seat was taken: the others should hear of it soon. */
-  abstract onTaken(): void;
+  abstract onElected(): void;
 }
 
-export class Seat {
+export class PlannerElection {
   /** The term while this process holds the seat; 0: it does not. */
   term = 0;
   /** Rank of the planner before this one; undefined: not known. */
-  formerRank: number | undefined;
+  previousRank: number | undefined;
   /** A term that was lost is not taken up again. */
   private lostTerm = 0;
-  private seenVersion = 0;
-  private pausesUntil = 0;
+  private lastSeenVersion = 0;
+  private cooldownUntil = 0;
   private isClosed = false;
   /** When the planner was first missed; undefined: it is heard. */
-  private missedAt: number | undefined;
-  private failedPauseMs = FAILED_PAUSE_MS;
+  private plannerMissedAt: number | undefined;
+  private backoffMs = MIN_BACKOFF_MS;
 
   constructor(
     readonly key: string,
-    private readonly own: SeatValue,
-    private readonly context: SeatContext,
+    private readonly ownRecord: PlannerRecord,
+    private readonly context: ElectionContext,
     private readonly store: ObjectApi,
     private readonly log: Log,
   ) {}
@@ -72,18 +72,18 @@
   /** Watches over the seat until closed. */
   async run(): Promise<void> {
     while (!this.isClosed) {
-      const pauseMs = await this.step();
+      const pauseMs = await this.check();
       await new Promise(resolve => setTimeout(resolve, pauseMs));
     }
   }
 
   /** A rank has heard of a newer planner, or this one can't go on. */
-  lose(): void {
+  stepDown(): void {
     if (this.term !== 0) {
       this.log.event('seatLost', {seat: this.key, term: this.term});
       this.lostTerm = this.term;
       this.term = 0;
-      this.pausesUntil = performance.now() + AFTER_LOSS_PAUSE_MS;
+      this.cooldownUntil = performance.now() + STEP_DOWN_COOLDOWN_MS;
     }
   }
 
@@ -93,67 +93,72 @@
     const {term} = this;
     this.term = 0;
     if (term !== 0) {
-      const empty: SeatValue = {holder: '', life: '', rank: NO_RANK};
+      const empty: PlannerRecord = {holder: '', life: '', rank: NO_RANK};
       const put = await this.store.put(this.key, empty, term);
       this.log.event('seatReleased', {seat: this.key, term, ok: put.ok});
     }
   }
 
-  private async step(): Promise<number> {
+  private async check(): Promise<number> {
     const now = performance.now();
-    const isPausing = now < this.pausesUntil;
+    const isPausing = now < this.cooldownUntil;
     if (this.term !== 0 || isPausing || this.context.isPlannerHeard()) {
-      this.missedAt = undefined;
-      this.failedPauseMs = FAILED_PAUSE_MS;
-      return random.jitter(LOOK_MS);
+      this.plannerMissedAt = undefined;
+      this.backoffMs = MIN_BACKOFF_MS;
+      return random.jitter(CHECK_INTERVAL_MS);
     }
-    this.missedAt ??= now;
-    const turnIn = this.missedAt + this.context.turnMs() - now;
+    this.plannerMissedAt ??= now;
+    const turnIn = this.plannerMissedAt + this.context.electionDelayMs() - now;
     if (turnIn > 0) {
-      return Math.min(turnIn, LOOK_MS);
+      return Math.min(turnIn, CHECK_INTERVAL_MS);
     }
-    return (await this.context.mayTake()) ? this.take() : this.pauseAfterFail();
+    return (await this.context.canBecomePlanner())
+      ? this.acquire()
+      : this.nextBackoffMs();
   }
 
-  private pauseAfterFail(): number {
-    const pauseMs = this.failedPauseMs;
-    this.failedPauseMs = Math.min(pauseMs * 2, LONGEST_PAUSE_MS);
+  private nextBackoffMs(): number {
+    const pauseMs = this.backoffMs;
+    this.backoffMs = Math.min(pauseMs * 2, MAX_BACKOFF_MS);
     return random.jitter(pauseMs);
   }
 
-  private async take(): Promise<number> {
+  private async acquire(): Promise<number> {
     const got = await this.store.get(this.key);
     if (!got.ok) {
-      return this.pauseAfterFail();
+      return this.nextBackoffMs();
     }
     const version = got.value?.version ?? 0;
-    const parsed = v.safeParse(seatSchema, got.value?.value);
-    const isOwn = parsed.success && parsed.output.life === this.own.life;
+    const parsed = v.safeParse(plannerRecordSchema, got.value?.value);
+    const isOwn = parsed.success && parsed.output.life === this.ownRecord.life;
     if (isOwn && version > this.lostTerm) {
       // A write whose answer was lost has taken effect.
-      this.hold(version);
-      return LOOK_MS;
+      this.becomePlanner(version);
+      return CHECK_INTERVAL_MS;
     }
-    this.formerRank = parsed.success ? parsed.output.rank : undefined;
-    if (version > this.context.heardTerm() && version !== this.seenVersion) {
+    this.previousRank = parsed.success ? parsed.output.rank : undefined;
+    if (
+      version > this.context.heardTerm() &&
+      version !== this.lastSeenVersion
+    ) {
       // Somebody else has just taken it and will soon be heard.
-      this.seenVersion = version;
-      return NEW_HOLDER_PAUSE_MS;
+      this.lastSeenVersion = version;
+      return NEW_PLANNER_GRACE_MS;
     }
     if (this.context.isPlannerHeard()) {
-      return LOOK_MS;
+      return CHECK_INTERVAL_MS;
     }
-    const put = await this.store.put(this.key, this.own, version);
+    const put = await this.store.put(this.key, this.ownRecord, version);
     if (put.ok) {
-      this.hold(put.value);
+      this.becomePlanner(put.value);
     }
-    return put.ok ? LOOK_MS : this.pauseAfterFail();
+    return put.ok ? CHECK_INTERVAL_MS : this.nextBackoffMs();
   }
 
-  private hold(term: number): void {
+  private becomePlanner(term: number): void {
     if (!this.isClosed) {
       this.term = term;
-      this.context.onTaken();
+      this.context.onElected();
       this.log.event('seatTaken', {seat: this.key, term});
     }
   }
--- a/src/experts/planner.ts
+++ b/src/experts/planner.ts
@@ -6,8 +6,8 @@
 import type {ExpertFigures} from '../routes/types';
 import * as mapChange from './change';
 import {RecentDemand} from './demand';
-import * as links from './group-links';
-import type {GroupRanks, GroupReading} from './group-links';
+import * as links from './group-client';
+import type {GroupRanks, GroupReading} from './group-client';
 import * as mapChanger from './map-changer';
 import * as plans from './plan';
 import type {Demand} from './plan-types';
@@ -154,7 +154,7 @@
       if (own === undefined || own.step === this.lastRead.step) {
         return PASS_LOOK_MS;
       }
-      this.changer.passes.note(own.step, now);
+      this.changer.passes.record(own.step, now);
       this.lastRead.step = own.step;
     }
     this.lastRead.at = now;
@@ -175,7 +175,7 @@
       return;
     }
     const askedAt = performance.now();
-    const reading = await this.context.links.read(links.PLANNING);
+    const reading = await this.context.links.read(links.PLANNING_READ);
     this.noteReadingTime(performance.now() - askedAt);
     if (reading.isDeposed) {
       this.context.onDeposed();
@@ -251,7 +251,7 @@
       readings.length === first.state.size - 1 &&
       readings.every(one => one.state.rank !== former);
     if (isMissing) {
-      const ranks = links.someRanksOf(reading);
+      const ranks = links.partialRanksOf(reading);
       const end = await mapChange.endOrphaned(ranks, readings, former, log);
       metrics.count('orphaned_changes_total', {end});
     }
@@ -283,7 +283,7 @@
     if (reading.growth === undefined) {
       return false;
     }
-    const note = this.demand.note(reading.growth, performance.now());
+    const note = this.demand.update(reading.growth, performance.now());
     if (note.hasDrifted) {
       this.context.metrics.count('demand_drifts_total');
       this.context.log.event('demandDrifted', {
@@ -308,7 +308,7 @@
     if (own === undefined || !(await this.isSettled(known, own, reading))) {
       return;
     }
-    this.changer.passes.note(own.step, performance.now());
+    this.changer.passes.record(own.step, performance.now());
     const copiesPerRank = Math.max(
       1,
       Math.floor(COPY_TIME_MS / Math.max(figures.copyMs, 1)),
--- a/src/experts/rank-agent.test.ts
+++ b/src/experts/rank-agent.test.ts
@@ -21,17 +21,17 @@
 
 /** An engine whose counters a test sets. */
 class CountingEngine extends types.Engine {
-  told: types.ExpertCounts = {born: 1_000, values: [10, 20]};
+  counters: types.ExpertCounts = {born: 1_000, values: [10, 20]};
 
   async state() {
     return ok(STATE);
   }
 
   async counts() {
-    return ok(this.told);
+    return ok(this.counters);
   }
 
-  async held() {
+  async heldExperts() {
     return ok({version: 0, experts: [[0, 1]]});
   }
 
@@ -42,15 +42,15 @@
   close(): void {}
 }
 
-const WISH: types.ReadWish = {growth: true, planning: false, held: false};
+const OPTIONS: types.ReadOptions = {growth: true, planning: false, held: false};
 
 describe('the growth of a rank’s counters', () => {
   const engine = new CountingEngine();
   const agent = new RankAgent(engine, () => engine, SILENT_LOG);
 
   async function growth(told: types.ExpertCounts): Promise<number[]> {
-    engine.told = told;
-    const reading = await agent.read(1, 50, WISH);
+    engine.counters = told;
+    const reading = await agent.read(1, 50, OPTIONS);
     return Array.from(reading.growth ?? []);
   }
 
--- a/src/experts/rank-agent.ts
+++ b/src/experts/rank-agent.ts
@@ -7,7 +7,7 @@
 import {
   Engine,
   ExpertCounts,
-  GivenArm,
+  SentArm,
   GroupView,
   Growth,
   Order,
@@ -15,30 +15,30 @@
   RankReading,
   RankState,
   ReadAnswer,
-  ReadWish,
+  ReadOptions,
 } from './types';
 
 /** Tries of an order whose answer does not come. */
-const ORDER_TRIES = 12;
+const MAX_ORDER_TRIES = 12;
 /** Pause between looks at a copy under way, in milliseconds. */
-const COPY_POLL_MS = 8;
+const COPY_POLL_INTERVAL_MS = 8;
 /** Time for tries of an order to another's rank: the planner waits for it. */
-const OTHER_PATIENCE_MS = 180;
+const OTHER_ORDER_TIMEOUT_MS = 180;
 /**
  * Time between looks whether the group is open, while no planner reads the rank
  * and somebody asks, in milliseconds. They cost nothing on the own instance.
  */
-const OPENING_LOOK_MS = 40;
+const STATUS_POLL_INTERVAL_MS = 40;
 /** Periods of a planner's readings that it may miss and still be heard. */
-const MISSED_PERIODS = 4.5;
+const MAX_MISSED_PERIODS = 4.5;
 /** Longest time between readings that a planner may name, in milliseconds. */
-const LONGEST_PERIOD_MS = 2_000;
-const FIRST_PERIOD_MS = 100;
+const MAX_PERIOD_MS = 2_000;
+const INITIAL_PERIOD_MS = 100;
 /**
  * Engines of other ranks that a connection is kept to: those of one branch.
  * A new connection costs a round trip while the group may be held.
  */
-const MOST_OTHERS = 24;
+const MAX_OTHER_ENGINES = 24;
 
 /** One reading of a rank for a planner. */
 export interface AgentReading {
@@ -50,17 +50,18 @@
 export class RankAgent {
   /** Highest term of a planner that was heard. */
   term = 0;
-  private heardAt = -Infinity;
-  private periodMs = FIRST_PERIOD_MS;
+  private plannerHeardAt = -Infinity;
+  private periodMs = INITIAL_PERIOD_MS;
   private counters: ExpertCounts | undefined;
   /** Undefined until a planner has learnt what there was before. */
-  private gave: GivenArm | null | undefined;
+  private lastSentArm: SentArm | null | undefined;
   /** Whether the own rank saw its group open, and when. */
-  private lastSeen: {readonly isOpen: boolean; readonly at: number} | undefined;
-  private readonly news = new rxjs.Subject<void>();
-  private heard: {readonly view: GroupView; readonly at: number} | undefined;
+  private lastStatus:
+    {readonly isOpen: boolean; readonly at: number} | undefined;
+  private readonly changes = new rxjs.Subject<void>();
+  private report: {readonly view: GroupView; readonly at: number} | undefined;
   /** Engines of other ranks that were ordered lately, oldest first. */
-  private readonly others = new Map<string, Engine>();
+  private readonly otherEngines = new Map<string, Engine>();
 
   constructor(
     private readonly engine: Engine,
@@ -69,7 +70,7 @@
   ) {}
 
   /** True once a planner was heard. */
-  get hasHeard(): boolean {
+  get hasHeardPlanner(): boolean {
     return this.term > 0;
   }
 
@@ -77,29 +78,29 @@
   async primeCounters(): Promise<void> {
     const counters = await this.engine.counts();
     if (counters.ok) {
-      this.takeGrowth(counters.value);
+      this.updateCounters(counters.value);
     }
   }
 
   /** True while a planner has been heard lately. */
   get isPlannerHeard(): boolean {
-    const silentMs = performance.now() - this.heardAt;
-    return silentMs < this.periodMs * MISSED_PERIODS;
+    const silentMs = performance.now() - this.plannerHeardAt;
+    return silentMs < this.periodMs * MAX_MISSED_PERIODS;
   }
 
   /** Reads the rank for the planner of a term, which comes again in a while. */
   async read(
     term: number,
     periodMs: number,
-    wish: ReadWish,
+    wish: ReadOptions,
     view?: GroupView,
   ): Promise<AgentReading> {
-    if (!this.obeys(term)) {
+    if (!this.acceptTerm(term)) {
       return {answer: {kind: 'deposed'}, growth: undefined};
     }
-    this.heard = view && {view, at: performance.now()};
-    this.news.next();
-    this.periodMs = Math.min(periodMs, LONGEST_PERIOD_MS);
+    this.report = view && {view, at: performance.now()};
+    this.changes.next();
+    this.periodMs = Math.min(periodMs, MAX_PERIOD_MS);
     const [reading, counters] = await Promise.all([
       readRank(this.engine, wish.held),
       wish.growth ? this.engine.counts() : undefined,
@@ -107,24 +108,26 @@
     if (reading === undefined) {
       return {answer: {kind: 'no-rank'}, growth: undefined};
     }
-    this.see(reading.state);
-    const growth = counters?.ok ? this.takeGrowth(counters.value) : undefined;
-    const {gave} = this;
+    this.recordStatus(reading.state);
+    const growth = counters?.ok
+      ? this.updateCounters(counters.value)
+      : undefined;
+    const {lastSentArm: gave} = this;
     if (wish.planning && gave === undefined) {
-      this.gave = null;
+      this.lastSentArm = null;
     }
     return {answer: {kind: 'read', reading: {...reading, gave}}, growth};
   }
 
   /** What the planner told last of the group, and how long ago. */
-  get known(): {view: GroupView; ageMs: number} | undefined {
-    const {heard} = this;
+  get groupView(): {view: GroupView; ageMs: number} | undefined {
+    const {report: heard} = this;
     return heard && {view: heard.view, ageMs: performance.now() - heard.at};
   }
 
   /** What the own rank told last of its group, and how long ago. */
-  get seen(): {isOpen: boolean; ageMs: number} | undefined {
-    const {lastSeen} = this;
+  get groupStatus(): {isOpen: boolean; ageMs: number} | undefined {
+    const {lastStatus: lastSeen} = this;
     return (
       lastSeen && {
         isOpen: lastSeen.isOpen,
@@ -137,23 +140,23 @@
    * Resolves when a planner has told something, the group has opened or closed,
    * or after the wait.
    */
-  async waitForNews(waitMs: number): Promise<void> {
-    const {lastSeen} = this;
-    const endsAt = performance.now() + Math.min(waitMs, LONGEST_PERIOD_MS);
+  async waitForChange(waitMs: number): Promise<void> {
+    const {lastStatus: lastSeen} = this;
+    const endsAt = performance.now() + Math.min(waitMs, MAX_PERIOD_MS);
     for (;;) {
       if (!this.isPlannerHeard) {
-        await this.look();
+        await this.refreshStatus();
       }
       const leftMs = endsAt - performance.now();
-      if (leftMs <= 0 || this.lastSeen?.isOpen !== lastSeen?.isOpen) {
+      if (leftMs <= 0 || this.lastStatus?.isOpen !== lastSeen?.isOpen) {
         return;
       }
       const mayWaitMs = this.isPlannerHeard
         ? leftMs
-        : Math.min(leftMs, OPENING_LOOK_MS);
+        : Math.min(leftMs, STATUS_POLL_INTERVAL_MS);
       const isTold = await rxjs.firstValueFrom(
         rxjs.race(
-          this.news.pipe(rxjs.map(() => true)),
+          this.changes.pipe(rxjs.map(() => true)),
           rxjs.timer(mayWaitMs).pipe(rxjs.map(() => false)),
         ),
         {defaultValue: true},
@@ -166,7 +169,7 @@
 
   /** Carries an order out for the planner of a term. */
   async order(term: number, order: Order): Promise<OrderResult> {
-    if (!this.obeys(term)) {
+    if (!this.acceptTerm(term)) {
       this.log.event('staleOrderRefused', {
         order: order.kind,
         term,
@@ -174,8 +177,12 @@
       });
       return 'deposed';
     }
-    const result = await carryOut(this.engine, order, () => this.term === term);
-    this.noteResult(order, result);
+    const result = await executeOrder(
+      this.engine,
+      order,
+      () => this.term === term,
+    );
+    this.logFailure(order, result);
     return result;
   }
 
@@ -185,10 +192,10 @@
     to: {readonly target: string; readonly rank: number},
     order: Order,
   ): Promise<OrderResult> {
-    if (!this.obeys(term)) {
+    if (!this.acceptTerm(term)) {
       return 'deposed';
     }
-    const given: GivenArm | undefined =
+    const given: SentArm | undefined =
       order.kind === 'arm'
         ? {
             epoch: order.epoch,
@@ -199,16 +206,16 @@
           }
         : undefined;
     // Noted before anything is sent: whoever asks later must know of it.
-    this.gave = given ?? this.gave;
+    this.lastSentArm = given ?? this.lastSentArm;
     const engine = this.engineOf(to.target);
-    const endsAt = performance.now() + OTHER_PATIENCE_MS;
+    const endsAt = performance.now() + OTHER_ORDER_TIMEOUT_MS;
     const mayGoOn = () => this.term === term && performance.now() < endsAt;
-    const result = await carryOut(engine, order, mayGoOn);
-    if (given !== undefined && this.gave === given) {
-      this.gave = result === 'refused' ? null : given;
+    const result = await executeOrder(engine, order, mayGoOn);
+    if (given !== undefined && this.lastSentArm === given) {
+      this.lastSentArm = result === 'refused' ? null : given;
       given.isConfirmed = result === 'done';
     }
-    this.noteResult(order, result);
+    this.logFailure(order, result);
     return result;
   }
 
@@ -221,53 +228,55 @@
     targets: readonly string[],
     order: Order,
   ): Promise<OrderResult[]> {
-    if (!this.obeys(term)) {
+    if (!this.acceptTerm(term)) {
       return targets.map(() => 'deposed');
     }
-    const endsAt = performance.now() + OTHER_PATIENCE_MS;
+    const endsAt = performance.now() + OTHER_ORDER_TIMEOUT_MS;
     const mayGoOn = () => this.term === term && performance.now() < endsAt;
     return Promise.all(
-      targets.map(target => carryOut(this.engineOf(target), order, mayGoOn)),
+      targets.map(target =>
+        executeOrder(this.engineOf(target), order, mayGoOn),
+      ),
     );
   }
 
   close(): void {
-    this.news.complete();
-    this.others.forEach(engine => engine.close());
-    this.others.clear();
+    this.changes.complete();
+    this.otherEngines.forEach(engine => engine.close());
+    this.otherEngines.clear();
   }
 
   /** Looks whether the group is open, where nobody has lately. */
-  private async look(): Promise<void> {
-    const ageMs = this.seen?.ageMs ?? Infinity;
+  private async refreshStatus(): Promise<void> {
+    const ageMs = this.groupStatus?.ageMs ?? Infinity;
     const state =
-      ageMs < OPENING_LOOK_MS ? undefined : await this.engine.state();
+      ageMs < STATUS_POLL_INTERVAL_MS ? undefined : await this.engine.state();
     if (state?.ok && state.value !== undefined) {
-      this.see(state.value);
+      this.recordStatus(state.value);
     }
   }
 
-  private see({isOpen}: RankState): void {
-    const hasChanged = this.lastSeen?.isOpen !== isOpen;
-    this.lastSeen = {isOpen, at: performance.now()};
+  private recordStatus({isOpen}: RankState): void {
+    const hasChanged = this.lastStatus?.isOpen !== isOpen;
+    this.lastStatus = {isOpen, at: performance.now()};
     if (hasChanged) {
-      this.news.next();
+      this.changes.next();
     }
   }
 
   private engineOf(target: string): Engine {
-    const engine = this.others.get(target) ?? this.makeEngine(target);
-    this.others.delete(target);
-    this.others.set(target, engine);
-    const [oldest] = this.others.keys();
-    if (this.others.size > MOST_OTHERS && oldest !== undefined) {
-      this.others.get(oldest)!.close();
-      this.others.delete(oldest);
+    const engine = this.otherEngines.get(target) ?? this.makeEngine(target);
+    this.otherEngines.delete(target);
+    this.otherEngines.set(target, engine);
+    const [oldest] = this.otherEngines.keys();
+    if (this.otherEngines.size > MAX_OTHER_ENGINES && oldest !== undefined) {
+      this.otherEngines.get(oldest)!.close();
+      this.otherEngines.delete(oldest);
     }
     return engine;
   }
 
-  private noteResult(order: Order, result: OrderResult): void {
+  private logFailure(order: Order, result: OrderResult): void {
     if (result !== 'done') {
       this.log.event('orderFailed', {
         order: order.kind,
@@ -279,7 +288,7 @@
   }
 
   /** Undefined for a first reading, and after the engine started again. */
-  private takeGrowth(counters: ExpertCounts): Growth | undefined {
+  private updateCounters(counters: ExpertCounts): Growth | undefined {
     const before = this.counters;
     this.counters = counters;
     const {values} = counters;
@@ -298,14 +307,14 @@
     return growth;
   }
 
-  private obeys(term: number): boolean {
+  private acceptTerm(term: number): boolean {
     if (term > this.term) {
       this.log.event('plannerObeyed', {term, before: this.term});
       this.term = term;
     }
     const isNewest = term === this.term;
     if (isNewest) {
-      this.heardAt = performance.now();
+      this.plannerHeardAt = performance.now();
     }
     return isNewest;
   }
@@ -318,7 +327,7 @@
 ): Promise<RankReading | undefined> {
   const [state, held] = await Promise.all([
     engine.state(),
-    wantsHeld ? engine.held() : undefined,
+    wantsHeld ? engine.heldExperts() : undefined,
   ]);
   if (!state.ok || state.value === undefined) {
     return undefined;
@@ -330,13 +339,13 @@
  * Gives an order until it is answered, and waits for a copy to be whole.
  * Orders say the same each time, so a late one changes nothing.
  */
-export async function carryOut(
+export async function executeOrder(
   engine: Engine,
   order: Order,
   mayGoOn: () => boolean = () => true,
 ): Promise<OrderResult> {
   let result: OrderResult = 'no-answer';
-  for (let tries = 0; tries < ORDER_TRIES; tries += 1) {
+  for (let tries = 0; tries < MAX_ORDER_TRIES; tries += 1) {
     if (!mayGoOn()) {
       return 'deposed';
     }
@@ -356,7 +365,7 @@
   mayGoOn: () => boolean,
 ): Promise<OrderResult> {
   const endsAt = performance.now() + order.patienceMs;
-  await pause(order.expectedMs);
+  await sleep(order.expectedMs);
   while (performance.now() < endsAt && mayGoOn()) {
     const state = await engine.state();
     if (state.ok && state.value?.prepared === order.version) {
@@ -365,11 +374,11 @@
     if (state.ok && state.value?.epoch !== order.epoch) {
       return 'refused';
     }
-    await pause(COPY_POLL_MS);
+    await sleep(COPY_POLL_INTERVAL_MS);
   }
   return 'no-answer';
 }
 
-function pause(ms: number): Promise<void> {
+function sleep(ms: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, ms));
 }
--- a/src/experts/types.ts
+++ b/src/experts/types.ts
@@ -5,34 +5,34 @@
 /** By set of layers, by rank: the experts that the rank holds. */
 export type ExpertMap = readonly (readonly (readonly number[])[])[];
 
-const whole = v.pipe(v.number(), v.integer());
+const integer = v.pipe(v.number(), v.integer());
 
 /** A map that every rank takes as the pass `step` begins. */
-const armedMapSchema = v.object({version: whole, step: whole});
+const armedMapSchema = v.object({version: integer, step: integer});
 export type ArmedMap = v.InferOutput<typeof armedMapSchema>;
 
 /** What a rank tells of itself. */
 const rankStateSchema = v.object({
   group: v.string(),
   /** Rises each time the group forms; everything prepared is then gone. */
-  epoch: whole,
-  rank: whole,
+  epoch: integer,
+  rank: integer,
   /** Unix milliseconds of the rank's start; left out where it isn't told. */
-  born: v.optional(whole),
+  born: v.optional(integer),
   /** Ranks in the group. */
-  size: whole,
+  size: integer,
   isOpen: v.boolean(),
   /** The pass that began last. */
-  step: whole,
+  step: integer,
   running: v.number(),
   waiting: v.number(),
   /** Version of the map in force. */
-  mapVersion: whole,
+  mapVersion: integer,
   /** Version that was copied and may be armed. */
-  prepared: v.nullable(whole),
+  prepared: v.nullable(integer),
   armed: v.nullable(armedMapSchema),
   /** The group does not begin this pass until it is released. */
-  held: v.nullable(whole),
+  held: v.nullable(integer),
   /** How many times as long as it should the rank's work takes; 1 or more. */
   slowness: v.number(),
 });
@@ -40,8 +40,8 @@
 
 /** Experts of one rank by set, under the map in force. */
 const heldExpertsSchema = v.object({
-  version: whole,
-  experts: v.array(v.array(whole)),
+  version: integer,
+  experts: v.array(v.array(integer)),
 });
 export type HeldExperts = v.InferOutput<typeof heldExpertsSchema>;
 
@@ -49,15 +49,15 @@
  * An order to arm another rank, as the sidecar that gave it remembers it. A
  * planner's own rank is armed this way, so that others can tell.
  */
-const givenArmSchema = v.object({
-  epoch: whole,
-  rank: whole,
-  version: whole,
-  step: whole,
+const sentArmSchema = v.object({
+  epoch: integer,
+  rank: integer,
+  version: integer,
+  step: integer,
   /** The rank has answered that it is armed. */
   isConfirmed: v.boolean(),
 });
-export type GivenArm = v.InferOutput<typeof givenArmSchema>;
+export type SentArm = v.InferOutput<typeof sentArmSchema>;
 
 /** What a planner reads of a rank. */
 const rankReadingSchema = v.object({
@@ -66,7 +66,7 @@
    * The last arm that the rank's sidecar gave for another; null: none. Left
    * out where the sidecar can't tell, since it has started again meanwhile.
    */
-  gave: v.optional(v.nullable(givenArmSchema)),
+  gave: v.optional(v.nullable(sentArmSchema)),
   /** Left out where it was not asked for. */
   held: v.optional(heldExpertsSchema),
 });
@@ -144,7 +144,7 @@
   /** Undefined: it is not a rank of a group. */
   abstract state(): Promise<Result<RankState | undefined, EngineError>>;
   abstract counts(): Promise<Result<ExpertCounts, EngineError>>;
-  abstract held(): Promise<Result<HeldExperts, EngineError>>;
+  abstract heldExperts(): Promise<Result<HeldExperts, EngineError>>;
   /** One try, without a wait for what it begins. */
   abstract order(order: Order): Promise<OrderResult>;
   abstract close(): void;
@@ -157,7 +157,7 @@
   /** Most loaded rank over the mean under the map in force; 1 is even. */
   imbalance: v.number(),
   /** Ranks whose work takes longer than it should. */
-  slow: v.array(v.object({rank: whole, slowness: v.number()})),
+  slow: v.array(v.object({rank: integer, slowness: v.number()})),
 });
 export type GroupView = v.InferOutput<typeof groupViewSchema>;
 
@@ -165,7 +165,7 @@
 export type Growth = ArrayLike<number>;
 
 /** What a reading should hold beside the state. */
-export interface ReadWish {
+export interface ReadOptions {
   readonly growth: boolean;
   /** The planner has finished what it found, and plans. */
   readonly planning: boolean;
@@ -194,7 +194,7 @@
    * still keeps nothing to itself: the others can be ordered once more from
    * elsewhere, and what its own rank was told is known.
    */
-  abstract orderPast(
+  abstract orderRemotely(
     places: readonly number[],
     order: Order,
   ): Promise<OrderResult[]>;
--- a/src/roles/site-sidecar.ts
+++ b/src/roles/site-sidecar.ts
@@ -5,7 +5,7 @@
 import {GroupMember} from '../experts/group-member';
 import {RankAgent} from '../experts/rank-agent';
 import {BranchHead} from '../experts/branch';
-import {MapCopies} from '../experts/map-copies';
+import {MapCache} from '../experts/map-cache';
 import * as packing from '../experts/packing';
 import type {Engine} from '../experts/types';
 import type {Log} from '../observability/log';
@@ -22,7 +22,7 @@
   private readonly rpc: RpcServer;
   private readonly agent: RankAgent;
   private readonly engine: Engine;
-  private readonly maps = new MapCopies();
+  private readonly maps = new MapCache();
   private readonly client = new RpcClient();
   private readonly metrics = new Metrics();
   private readonly member: GroupMember | undefined;
@@ -87,8 +87,8 @@
       };
     });
     this.rpc.handle(experts.view, async ({waitMs}) => {
-      await this.agent.waitForNews(waitMs);
-      return {known: this.agent.known, seen: this.agent.seen};
+      await this.agent.waitForChange(waitMs);
+      return {known: this.agent.groupView, seen: this.agent.groupStatus};
     });
     this.rpc.handle(experts.hearing, () => ({
       isPlannerHeard: this.agent.isPlannerHeard,
