--- a/src/experts/app.ts
+++ b/src/experts/app.ts
@@ -1,4 +1,4 @@
-/** Calls between planners and the sidecars beside the ranks. */
+/** RPC methods between planners and the sidecars beside the ranks. */
 import * as v from 'valibot';
 import * as rpc from '../rpc/types';
 import {INITIAL_MAP_VERSION, MapCache} from './map-cache';
@@ -18,9 +18,9 @@
     kind: v.literal('prepare'),
     epoch: integer,
     version: integer,
-    /** Version of the map that `map` builds upon. */
+    /** Version of the map from which `map` is the difference. */
     base: integer,
-    /** Packed: see `packing`. */
+    /** Packed by `packing.packMap`. */
     map: v.string(),
     expectedMs: v.number(),
     patienceMs: v.number(),
@@ -37,13 +37,13 @@
 ]);
 export type WireOrder = v.InferOutput<typeof orderSchema>;
 
-/** Sidecars that the called one passes the call on to. */
+/** Addresses of the sidecars that the called one forwards the call to. */
 const membersSchema = v.array(v.string());
 
 /**
- * Reads the called sidecar's rank and those of the members behind it, in that
- * order; the growth of their counters is summed. The term makes older
- * planners' orders refused from then on.
+ * Reads the called sidecar's rank and those of `members`, in that order, and
+ * sums the growth of their counters. From then on the sidecars refuse calls
+ * with a lower term.
  */
 export const read = rpc.method(
   'experts.read',
@@ -53,7 +53,7 @@
     growth: v.boolean(),
     planning: v.boolean(),
     held: v.boolean(),
-    /** What the planner tells of the group; left out: it doesn't know. */
+    /** The planner's summary of the group; absent if it has none. */
     view: v.optional(types.groupViewSchema),
     members: membersSchema,
   }),
@@ -63,7 +63,7 @@
   }),
 );
 
-/** Gives the ranks of the called sidecar and of its members an order. */
+/** Orders the rank of the called sidecar and those of `members`. */
 export const order = rpc.method(
   'experts.order',
   v.object({term: integer, order: orderSchema, members: membersSchema}),
@@ -81,7 +81,7 @@
   }),
 );
 
-/** Gives another rank an order, by its target's address. */
+/** Sends an order to another rank, by target address. */
 export const orderOther = rpc.method(
   'experts.orderOther',
   v.object({
@@ -95,7 +95,7 @@
   }),
 );
 
-/** Gives other ranks an order that copies nothing, by their targets. */
+/** Sends an order that copies nothing to other ranks, by target address. */
 export const orderOthers = rpc.method(
   'experts.orderOthers',
   v.object({term: integer, targets: v.array(v.string()), order: orderSchema}),
@@ -105,9 +105,9 @@
 );
 
 /**
- * Asks a sidecar what it has heard of its rank's group, and whether its rank
- * sees the group open; the answer waits for the next news, but no longer than
- * `waitMs`.
+ * Long poll for the planner's summary of the group and for whether the called
+ * sidecar's rank sees the group open. Answers on the next change, at the latest
+ * after `waitMs`.
  */
 export const view = rpc.method(
   'experts.view',
@@ -116,12 +116,12 @@
     known: v.optional(
       v.object({view: types.groupViewSchema, ageMs: v.number()}),
     ),
-    /** Left out where the rank has not told. */
+    /** Absent if the rank has not been read. */
     seen: v.optional(v.object({isOpen: v.boolean(), ageMs: v.number()})),
   }),
 );
 
-/** Asks a sidecar whether it hears a planner. */
+/** Asks a sidecar whether it has heard a planner lately. */
 export const hearing = rpc.method(
   'experts.hearing',
   v.object({}),
@@ -129,30 +129,35 @@
 );
 
 /**
- * A map goes as what differs from the one in force; `isWhole` where a sidecar
- * does not have that one, and it goes as what differs from the first one.
+ * Packs a map as its difference from the order's base. With `fromInitial`, for
+ * sidecars that lack the base, it is the difference from the initial map.
  */
-export function orderToWire(value: types.Order, isWhole = false): WireOrder {
+export function orderToWire(
+  value: types.Order,
+  fromInitial = false,
+): WireOrder {
   if (value.kind !== 'prepare') {
     return value;
   }
   const {map, base, ...rest} = value;
-  const isFirst = isWhole || base.version === INITIAL_MAP_VERSION;
-  const against = isFirst ? packing.dealtMap(packing.shapeOf(map)) : base.map;
+  const isFromInitial = fromInitial || base.version === INITIAL_MAP_VERSION;
+  const baseMap = isFromInitial
+    ? packing.dealtMap(packing.shapeOf(map))
+    : base.map;
   return {
     ...rest,
-    base: isFirst ? INITIAL_MAP_VERSION : base.version,
-    map: packing.packMap(map, against),
+    base: isFromInitial ? INITIAL_MAP_VERSION : base.version,
+    map: packing.packMap(map, baseMap),
   };
 }
 
 /**
- * Fails with `refused` where a map is not well packed, and with `no-base`
- * where this process does not have the map that it builds upon.
+ * Unpacks an order and adds its map to the cache. `refused`: the map is
+ * malformed; `no-base`: its base is not in the cache.
  */
 export function orderFromWire(
   wire: WireOrder,
-  maps: MapCache,
+  cache: MapCache,
 ): types.Order | 'refused' | 'no-base' {
   if (wire.kind !== 'prepare') {
     return wire;
@@ -162,14 +167,14 @@
   if (shape === undefined) {
     return 'refused';
   }
-  const against = maps.find(epoch, base, shape);
-  if (against === undefined) {
+  const baseMap = cache.find(epoch, base, shape);
+  if (baseMap === undefined) {
     return 'no-base';
   }
-  const map = packing.unpackMap(wire.map, against);
+  const map = packing.unpackMap(wire.map, baseMap);
   if (map === undefined) {
     return 'refused';
   }
-  maps.add(epoch, version, map);
-  return {...wire, map, base: {version: base, map: against}};
+  cache.add(epoch, version, map);
+  return {...wire, map, base: {version: base, map: baseMap}};
 }
--- a/src/experts/branch.ts
+++ b/src/experts/branch.ts
@@ -1,9 +1,8 @@
 /**
- * Calls that reach many sidecars in a tree: whoever calls divides the sidecars
- * into a few branches and calls the first of each, which passes the call on to
- * those behind it in the same way. So no process makes or takes more than a few
- * calls at a time, however large the group is. Nothing is kept between calls,
- * and any sidecar of a branch may come first.
+ * Calls that reach many sidecars through a tree: the caller splits the sidecars
+ * into branches and calls the head of each, which forwards the call to the rest
+ * of its branch in the same way. Nothing is kept between calls, and any sidecar
+ * of a branch can be its head.
  */
 import type {RpcClient} from '../rpc/client';
 import * as app from './app';
@@ -13,24 +12,24 @@
 import type {GroupView, OrderResult, ReadAnswer, ReadOptions} from './types';
 
 /**
- * Branches that one process calls at a time: their sums of counters come over one
- * narrow link, and fewer branches would make a tree with more levels.
+ * Branches that a process splits sidecars into: their sums of counters share
+ * its narrow link, and fewer branches would make the tree deeper.
  */
 export const MAX_BRANCHES = 5;
-/** Longest wait for a sidecar's own reading, in milliseconds. */
+/** Timeout of reading one sidecar. */
 const READ_TIMEOUT_MS = 150;
-/** Longest wait for an order that copies nothing. */
+/** Timeout of ordering one sidecar, without the time for a copy. */
 const ORDER_TIMEOUT_MS = 500;
-/** What each level of the tree may add to either. */
+/** Added to either timeout for each level of the tree below. */
 const LEVEL_TIMEOUT_MS = 100;
 
 /**
- * `silent`: the sidecar does not answer; the rank got nothing through it.
- * `no-base`: the sidecar does not have the map that the order builds upon.
+ * `silent`: the sidecar does not answer, and its rank must be ordered
+ * otherwise. `no-base`: the sidecar lacks the map from which the order's map is
+ * a difference.
  */
 export type BranchOrderResult = OrderResult | 'silent' | 'no-base';
 
-/** A planner's reading of a branch. */
 export interface ReadCall extends ReadOptions {
   readonly term: number;
   readonly periodMs: number;
@@ -38,13 +37,14 @@
   readonly members: readonly string[];
 }
 
-/** Its answer: by rank, the called sidecar's first. */
 export interface BranchReading {
+  /** The called sidecar's rank first, then those of `members`. */
   readonly ranks: readonly ReadAnswer[];
+  /** Sum over the ranks; undefined: none. */
   readonly growth: Float64Array | undefined;
 }
 
-/** Members of one branch: the first is called, the others stand behind it. */
+/** Splits members into branches, the first member of each being its head. */
 export function splitIntoBranches<T>(members: readonly T[]): T[][] {
   const size = Math.ceil(members.length / MAX_BRANCHES);
   const branches: T[][] = [];
@@ -54,44 +54,42 @@
   return branches;
 }
 
-/** Levels of the tree below a head with so many members behind it. */
-function levelsBelow(behind: number): number {
-  return behind === 0
-    ? 0
-    : 1 + levelsBelow(Math.ceil(behind / MAX_BRANCHES) - 1);
+/** Levels of the tree below the head of a branch with `count` other members. */
+function levelsBelow(count: number): number {
+  return count === 0 ? 0 : 1 + levelsBelow(Math.ceil(count / MAX_BRANCHES) - 1);
 }
 
-function readTimeoutMs(behind: number): number {
-  return READ_TIMEOUT_MS + LEVEL_TIMEOUT_MS * levelsBelow(behind);
+function readTimeoutMs(count: number): number {
+  return READ_TIMEOUT_MS + LEVEL_TIMEOUT_MS * levelsBelow(count);
 }
 
-function orderTimeoutMs(order: app.WireOrder, behind: number): number {
+function orderTimeoutMs(order: app.WireOrder, count: number): number {
   const copyMs = order.kind === 'prepare' ? order.patienceMs : 0;
-  return ORDER_TIMEOUT_MS + copyMs + LEVEL_TIMEOUT_MS * levelsBelow(behind);
+  return ORDER_TIMEOUT_MS + copyMs + LEVEL_TIMEOUT_MS * levelsBelow(count);
 }
 
 /**
- * Reads the sidecars of one branch, in their order. Where its head does not
- * answer, the others are read in branches of their own, all at a time: a hall that
- * is cut off costs the wait for an answer once, and not for each of its sidecars.
+ * Reads the sidecars of one branch; results in their order. If the head does
+ * not answer, the others are read in branches of their own: a hall that is cut
+ * off costs one timeout per level of the tree and not one per sidecar.
  */
 export async function readBranch(
   rpc: RpcClient,
   call: Omit<ReadCall, 'members'>,
   members: readonly string[],
 ): Promise<BranchReading> {
-  const [head, ...behind] = members;
+  const [head, ...others] = members;
   if (head === undefined) {
     return {ranks: [], growth: undefined};
   }
   const answer = await rpc.call(
     head,
     app.read,
-    {...call, members: behind},
-    readTimeoutMs(behind.length),
+    {...call, members: others},
+    readTimeoutMs(others.length),
   );
   if (!answer.ok) {
-    const rest = await readBranches(rpc, call, behind);
+    const rest = await readBranches(rpc, call, others);
     return {...rest, ranks: [SILENT_ANSWER, ...rest.ranks]};
   }
   const {ranks, growth} = answer.value;
@@ -103,14 +101,14 @@
 
 const SILENT_ANSWER: ReadAnswer = {kind: 'silent'};
 
-/** Reads sidecars in a few branches; answers in their order. */
+/** Reads sidecars in several branches; results in their order. */
 async function readBranches(
   rpc: RpcClient,
   call: Omit<ReadCall, 'members'>,
   members: readonly string[],
 ): Promise<BranchReading> {
   const readings = await Promise.all(
-    splitIntoBranches(members).map(some => readBranch(rpc, call, some)),
+    splitIntoBranches(members).map(one => readBranch(rpc, call, one)),
   );
   let growth: Float64Array | undefined;
   for (const one of readings) {
@@ -121,41 +119,43 @@
   return {ranks: readings.flatMap(one => one.ranks), growth};
 }
 
-/** Gives the sidecars of one branch an order; results in their order. */
+/** Orders the sidecars of one branch; results in their order. */
 export async function orderBranch(
   rpc: RpcClient,
   call: {readonly term: number; readonly order: app.WireOrder},
   members: readonly string[],
 ): Promise<BranchOrderResult[]> {
-  const [head, ...behind] = members;
+  const [head, ...others] = members;
   if (head === undefined) {
     return [];
   }
   const answer = await rpc.call(
     head,
     app.order,
-    {...call, members: behind},
-    orderTimeoutMs(call.order, behind.length),
+    {...call, members: others},
+    orderTimeoutMs(call.order, others.length),
   );
   if (!answer.ok) {
-    return ['silent', ...(await orderBranches(rpc, call, behind))];
+    return ['silent', ...(await orderBranches(rpc, call, others))];
   }
   return members.map((_, at) => answer.value.results[at] ?? 'silent');
 }
 
-/** Orders sidecars in a few branches; results in their order. */
+/** Orders sidecars in several branches; results in their order. */
 async function orderBranches(
   rpc: RpcClient,
   call: {readonly term: number; readonly order: app.WireOrder},
   members: readonly string[],
 ): Promise<BranchOrderResult[]> {
   const results = await Promise.all(
-    splitIntoBranches(members).map(some => orderBranch(rpc, call, some)),
+    splitIntoBranches(members).map(one => orderBranch(rpc, call, one)),
   );
   return results.flat();
 }
 
-/** A sidecar that is called first: for its own rank and for those behind it. */
+/**
+ * Answers a call for the own rank and forwards it to the rest of the branch.
+ */
 export class BranchHead {
   constructor(
     private readonly agent: RankAgent,
@@ -165,16 +165,16 @@
 
   async read(call: ReadCall): Promise<BranchReading> {
     const {term, periodMs, members} = call;
-    const [own, behind] = await Promise.all([
+    const [own, others] = await Promise.all([
       this.agent.read(term, periodMs, call, call.view),
       readBranches(this.rpc, call, members),
     ]);
     return {
-      ranks: [own.answer, ...behind.ranks],
+      ranks: [own.answer, ...others.ranks],
       growth:
         own.growth === undefined
-          ? behind.growth
-          : packing.addGrowth(behind.growth, own.growth),
+          ? others.growth
+          : packing.addGrowth(others.growth, own.growth),
     };
   }
 
@@ -183,11 +183,11 @@
     wire: app.WireOrder,
     members: readonly string[],
   ): Promise<BranchOrderResult[]> {
-    const [own, behind] = await Promise.all([
+    const [own, others] = await Promise.all([
       this.orderOwn(term, wire),
       orderBranches(this.rpc, {term, order: wire}, members),
     ]);
-    return [own, ...behind];
+    return [own, ...others];
   }
 
   private async orderOwn(
--- a/src/experts/demand.test.ts
+++ b/src/experts/demand.test.ts
@@ -6,18 +6,19 @@
 const TOPICS = 9;
 const READING_MS = 100;
 
-/** What a fleet's readings are like. */
 interface Shape {
-  /** Prompts whose tokens a reading covers. */
+  /** Prompts per reading. */
   readonly prompts: number;
-  /** Exponent of demand by an expert's place in a liking. */
+  /** Exponent of the Zipf distribution of tokens over experts. */
   readonly skew: number;
 }
 const SMALL: Shape = {prompts: 6, skew: 1.1};
-/** As with 129 ranks: many prompts, and experts that are liked more evenly. */
+/**
+ * As with 129 ranks: many prompts, and tokens spread more evenly over experts.
+ */
 const LARGE: Shape = {prompts: 60, skew: 0.45};
 
-/** Demand of topics that share some experts, as the fleets show it. */
+/** Simulates readings of prompts on topics that partly share their experts. */
 class FakeGroup {
   private readonly generator;
   private shared: Float64Array[] = [];
@@ -31,23 +32,23 @@
     this.shift(1);
   }
 
-  /** Every liking is drawn anew with this probability. */
+  /** Draws each distribution anew with probability `share`. */
   shift(share: number): void {
-    const renew = (old: Float64Array | undefined) =>
+    const redraw = (old: Float64Array | undefined) =>
       old === undefined || this.random() < share
         ? this.drawDistribution()
         : old;
     this.shared = Array.from({length: SETS}, (_, set) =>
-      renew(this.shared[set]),
+      redraw(this.shared[set]),
     );
     this.topics = Array.from({length: SETS}, (_, set) =>
       Array.from({length: TOPICS}, (__, topic) =>
-        renew(this.topics[set]?.[topic]),
+        redraw(this.topics[set]?.[topic]),
       ),
     );
   }
 
-  /** Growth of one reading: a few prompts on topics of their own. */
+  /** Growth of one reading, whose prompts are on random topics. */
   read(): Float64Array {
     const growth = new Float64Array(SETS * EXPERTS);
     for (let prompt = 0; prompt < this.shape.prompts; prompt += 1) {
@@ -55,10 +56,10 @@
       const tokens = 20_000 + this.random() * 60_000;
       for (let set = 0; set < SETS; set += 1) {
         for (let expert = 0; expert < EXPERTS; expert += 1) {
-          const liked =
+          const share =
             0.7 * this.shared[set]![expert]! +
             0.3 * this.topics[set]![topic]![expert]!;
-          growth[set * EXPERTS + expert]! += tokens * liked;
+          growth[set * EXPERTS + expert]! += tokens * share;
         }
       }
     }
@@ -82,13 +83,13 @@
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 
 describe('demand for experts', () => {
-  it.each([SMALL, LARGE])('takes steady demand for steady (%o)', shape => {
+  it.each([SMALL, LARGE])('sees no drift in steady demand (%o)', shape => {
     for (const seed of SEEDS) {
-      const fleet = new FakeGroup(seed, shape);
+      const group = new FakeGroup(seed, shape);
       const demand = new RecentDemand(SETS);
       let drifts = 0;
       for (let at = 1; at <= 200; at += 1) {
-        drifts += demand.update(fleet.read(), at * READING_MS).hasDrifted
+        drifts += demand.update(group.read(), at * READING_MS).hasDrifted
           ? 1
           : 0;
       }
@@ -96,22 +97,22 @@
     }
   });
 
-  it('notices within two readings that demand has changed', () => {
+  it('detects a drift within two readings', () => {
     for (const seed of SEEDS) {
-      const fleet = new FakeGroup(seed);
+      const group = new FakeGroup(seed);
       const demand = new RecentDemand(SETS);
       let at = 0;
       for (let shift = 0; shift < 5; shift += 1) {
-        for (let calm = 0; calm < 30; calm += 1) {
+        for (let reading = 0; reading < 30; reading += 1) {
           at += 1;
-          demand.update(fleet.read(), at * READING_MS);
+          demand.update(group.read(), at * READING_MS);
         }
-        fleet.shift(0.8);
-        const notes = [1, 2].map(() => {
+        group.shift(0.8);
+        const drifts = [1, 2].map(() => {
           at += 1;
-          return demand.update(fleet.read(), at * READING_MS).hasDrifted;
+          return demand.update(group.read(), at * READING_MS).hasDrifted;
         });
-        expect([seed, shift, notes]).toEqual([
+        expect([seed, shift, drifts]).toEqual([
           seed,
           shift,
           expect.arrayContaining([true]),
@@ -120,25 +121,25 @@
     }
   });
 
-  it('notices small drifts of a large fleet, from the first second on', () => {
+  it('detects small drifts of a large group from the first second on', () => {
     for (const seed of SEEDS) {
-      const fleet = new FakeGroup(seed, LARGE);
+      const group = new FakeGroup(seed, LARGE);
       const demand = new RecentDemand(SETS);
       let at = 0;
       for (let shift = 0; shift < 5; shift += 1) {
-        for (let calm = 0; calm < 8; calm += 1) {
+        for (let reading = 0; reading < 8; reading += 1) {
           at += 1;
-          demand.update(fleet.read(), at * READING_MS);
+          demand.update(group.read(), at * READING_MS);
         }
-        fleet.shift(0.8);
+        group.shift(0.8);
         at += 1;
-        const note = demand.update(fleet.read(), at * READING_MS);
-        expect([seed, shift, note.hasDrifted]).toEqual([seed, shift, true]);
+        const update = demand.update(group.read(), at * READING_MS);
+        expect([seed, shift, update.hasDrifted]).toEqual([seed, shift, true]);
       }
     }
   });
 
-  it('forgets what was before the change', () => {
+  it('keeps only the newest growth after a drift', () => {
     const demand = new RecentDemand(1);
     for (let at = 1; at <= 30; at += 1) {
       demand.update([900, 100], at * READING_MS);
@@ -147,11 +148,11 @@
     expect([...demand.demand![0]!]).toEqual([100, 900]);
   });
 
-  it('lets a reading without growth be', () => {
+  it('ignores a reading without growth', () => {
     const demand = new RecentDemand(1);
     demand.update([9, 1], READING_MS);
-    const note = demand.update([0, 0], 2 * READING_MS);
-    expect(note.hasDrifted).toBe(false);
+    const update = demand.update([0, 0], 2 * READING_MS);
+    expect(update.hasDrifted).toBe(false);
     expect(demand.total).toBe(10);
   });
 });
--- a/src/experts/demand.ts
+++ b/src/experts/demand.ts
@@ -1,49 +1,43 @@
 /**
- * Demand for experts of a group, from the growth of its ranks' counters.
+ * Estimates the demand for a group's experts from the growth of its ranks'
+ * counters.
  *
- * Demand is steady for seconds and then changes at once, when other subjects
- * come up. A plain average is either noisy or slow to forget, so this one is
- * long, and is dropped as soon as the newest growth no longer fits it.
+ * Demand is steady for seconds and then shifts abruptly, so the estimate is a
+ * long exponential average that is reset once the newest growth deviates from
+ * it.
  */
 import type {Demand} from './plan-types';
 import type {Growth} from './types';
 
-/** Age at which growth counts for half, in milliseconds. */
 const HALF_LIFE_MS = 1_500;
 /**
- * What is held against the average: the newest readings, so many at a time. The
- * more of them, the less their noise, and the later a drift is seen.
+ * Windows of the newest readings that are compared with the average. A longer
+ * window has less noise and detects a drift later.
  */
 const DRIFT_WINDOWS = [
   {readings: 1, noise: 0.14, factor: 1.8, margin: 0.06},
   {readings: 2, noise: 0.12, factor: 1.6, margin: 0.06},
 ] as const;
 /**
- * Noise from which on the whole margin is added; beneath it a part. Small
- * drifts of a large group, whose readings hardly differ, count too.
+ * Below this noise the margin shrinks in proportion, to detect small drifts of
+ * a large group, whose readings hardly differ.
  */
 const FULL_MARGIN_NOISE = 0.07;
-/** Least distance that is a drift: under it a new map is hardly a better one. */
+/** A new map would gain little after a smaller drift. */
 const MIN_DRIFT = 0.04;
-/** Weight of the newest distance in the usual one. */
 const EWMA_ALPHA = 0.05;
 /**
- * Distances after which their mean goes before what is written above: groups
- * differ by how much they work on, and a drift of a large one would pass for the
- * noise of a small one.
+ * Readings whose mean distance replaces a window's initial noise: a drift in a
+ * large group can be as small as the noise in a small one.
  */
 const NOISE_WARM_UP_READINGS = 5;
-/**
- * A reading with fewer tokens than this part of the usual is too thin to be
- * held against the average alone.
- */
+/** A window with a smaller share of the mean tokens is not compared. */
 const MIN_TOKEN_SHARE = 0.4;
 
-/** What a reading told. */
 export interface DemandUpdate {
-  /** Share of the tokens that went elsewhere than the average says. */
+  /** Share of tokens that went to other experts than the average predicts. */
   readonly distance: number;
-  /** True where the average was dropped for the newest growth. */
+  /** The average was reset to the newest growth. */
   readonly hasDrifted: boolean;
 }
 
@@ -58,9 +52,9 @@
 
   constructor(private readonly sets: number) {}
 
-  /** Takes the growth since the last reading; `now` is monotonic. */
+  /** Adds the growth since the last reading; `now` is monotonic. */
   update(growth: Growth, now: number): DemandUpdate {
-    const keep = 0.5 ** ((now - this.lastAt) / HALF_LIFE_MS);
+    const decay = 0.5 ** ((now - this.lastAt) / HALF_LIFE_MS);
     if (totalOf(growth) === 0) {
       return {distance: 0, hasDrifted: false};
     }
@@ -74,23 +68,23 @@
     const hasDrifted = distances.some((one, at) => this.isDrift(at, one));
     const distance = Math.max(...distances.map(one => one ?? 0));
     if (hasDrifted) {
-      // Of a window that spans the change, the newest part is right.
+      // A longer window may span the drift, so only the newest reading is kept.
       this.reset([growth]);
       return {distance, hasDrifted};
     }
     distances.forEach((one, at) => this.updateNoise(at, one));
     for (let at = 0; at < growth.length; at += 1) {
-      this.sum[at] = this.sum[at]! * keep + growth[at]!;
+      this.sum[at] = this.sum[at]! * decay + growth[at]!;
     }
     return {distance, hasDrifted};
   }
 
-  /** Tokens noted, with older ones counting for less. */
+  /** Tokens in the average, where older ones are discounted. */
   get total(): number {
     return this.sum === undefined ? 0 : totalOf(this.sum);
   }
 
-  /** By set and expert; undefined until something has grown. */
+  /** By set and expert; undefined before any growth. */
   get demand(): Demand | undefined {
     const {sum} = this;
     if (sum === undefined) {
@@ -109,13 +103,13 @@
 
   private addToNewest(growth: Growth): void {
     this.newest.push(growth);
-    const most = DRIFT_WINDOWS[DRIFT_WINDOWS.length - 1]!.readings;
-    this.newest.splice(0, this.newest.length - most);
+    const maxReadings = DRIFT_WINDOWS[DRIFT_WINDOWS.length - 1]!.readings;
+    this.newest.splice(0, this.newest.length - maxReadings);
     const tokens = totalOf(growth);
     this.meanTokens += EWMA_ALPHA * (tokens - this.meanTokens);
   }
 
-  /** Undefined where a window has too little in it to tell. */
+  /** Undefined if the window is incomplete or has too few tokens. */
   private distanceIn(at: number): number | undefined {
     const {readings} = DRIFT_WINDOWS[at]!;
     const window = this.newest.slice(-readings);
@@ -128,9 +122,9 @@
 
   private isDrift(at: number, distance: number | undefined): boolean {
     const {factor, margin} = DRIFT_WINDOWS[at]!;
-    const {mean: usual} = this.noiseByWindow[at]!;
-    const added = margin * Math.min(usual / FULL_MARGIN_NOISE, 1);
-    return (distance ?? 0) > Math.max(usual * factor + added, MIN_DRIFT);
+    const {mean} = this.noiseByWindow[at]!;
+    const added = margin * Math.min(mean / FULL_MARGIN_NOISE, 1);
+    return (distance ?? 0) > Math.max(mean * factor + added, MIN_DRIFT);
   }
 
   private updateNoise(at: number, distance: number | undefined): void {
@@ -139,7 +133,7 @@
     }
   }
 
-  /** Half the sum of differences of shares, averaged over sets: 0 to 1. */
+  /** Total variation distance from the average, averaged over sets: 0 to 1. */
   private distanceTo(window: readonly Growth[]): number {
     const newest = sumOf(window);
     const average = this.sum!;
@@ -147,10 +141,10 @@
     let distance = 0;
     for (let set = 0; set < this.sets; set += 1) {
       const from = set * experts;
-      const newTotal = totalOf(newest.subarray(from, from + experts)) || 1;
-      const oldTotal = totalOf(average.subarray(from, from + experts)) || 1;
+      const newestTotal = totalOf(newest.subarray(from, from + experts)) || 1;
+      const averageTotal = totalOf(average.subarray(from, from + experts)) || 1;
       for (let at = from; at < from + experts; at += 1) {
-        const change = newest[at]! / newTotal - average[at]! / oldTotal;
+        const change = newest[at]! / newestTotal - average[at]! / averageTotal;
         distance += Math.abs(change) / 2;
       }
     }
@@ -158,12 +152,12 @@
   }
 }
 
-/** How far readings usually are from the average of those before. */
+/** Mean distance of readings from the average of those before. */
 class NoiseEstimate {
   private sum = 0;
   private count = 0;
 
-  /** `usual`: until enough was seen. */
+  /** `mean` starts as the value that applies during the warm-up. */
   constructor(public mean: number) {}
 
   update(distance: number): void {
--- a/src/experts/group-client.test.ts
+++ b/src/experts/group-client.test.ts
@@ -19,7 +19,7 @@
 const EXPERTS = 6;
 const HALLS = 3;
 
-/** An engine that notes its orders and counts a little more at each look. */
+/** Records its orders; its counters grow at each reading. */
 class FakeEngine extends types.Engine {
   readonly orders: types.Order[] = [];
   private prepared: number | null = null;
@@ -74,23 +74,23 @@
   close(): void {}
 }
 
-/** From here on time stands still until it is advanced; sockets work on. */
+/** Stops the clock until it is advanced; sockets go on. */
 function pauseClock(): void {
   const now = performance.now();
   jest.useFakeTimers({doNotFake: ['nextTick', 'setImmediate']});
-  // The paused clock goes on from where the runtime's stood.
+  // The fake clock starts from the present time of the real one.
   jest.advanceTimersByTime(now - performance.now());
 }
 
-/** The runtime's own, which a paused clock leaves alone. */
+/** Unaffected by `pauseClock`. */
 const realSetTimeout = setTimeout;
 const realClearTimeout = clearTimeout;
-/** Far more than sockets and processor take, also on a busy machine. */
+/** Well above the time that a reading without a timeout takes. */
 const STUCK_MS = 20_000;
 
 /**
- * What a promise comes to while the clock stands still; undefined where it
- * waits for a time to pass.
+ * The promise's value while the clock is stopped; undefined if it needs a
+ * timer.
  */
 async function withoutWaiting<T>(promise: Promise<T>): Promise<T | undefined> {
   let timer: NodeJS.Timeout | undefined;
@@ -110,9 +110,9 @@
   readonly agent: RankAgent;
   readonly client: RpcClient;
   readonly mapCache: MapCache;
-  /** Engines of other ranks that it was told to order, by target. */
+  /** By target: engines of the other ranks that it ordered. */
   readonly others: ReadonlyMap<string, FakeEngine>;
-  /** From now on it answers nothing. */
+  /** Stops answering. */
   stall(): void;
   close(): Promise<void>;
 }
@@ -168,7 +168,7 @@
     engine,
     agent,
     client,
-    mapCache: mapCache,
+    mapCache,
     others,
     stall: () => (isStalled = true),
     close: async () => {
@@ -178,12 +178,12 @@
   };
 }
 
-describe.each([5, 30, 129])('a planner of a group of %i ranks', size => {
+describe.each([5, 30, 129])('the client of a group of %i ranks', size => {
   let sidecars: Sidecar[];
-  let links: GroupClient;
+  let group: GroupClient;
   let rpc: RpcClient;
   let term: number;
-  /** Orders given past sidecars, by target. */
+  /** By target: engines that the client ordered directly. */
   let direct: Map<string, FakeEngine>;
 
   beforeEach(async () => {
@@ -193,7 +193,7 @@
     rpc = new RpcClient();
     term = 7;
     direct = new Map();
-    links = new GroupClient({
+    group = new GroupClient({
       rpc,
       term: () => term,
       periodMs: () => 100,
@@ -205,24 +205,24 @@
         return engine;
       },
     });
-    links.setMembers(sidecars.map(one => ({...one.member})));
+    group.setMembers(sidecars.map(one => ({...one.member})));
   });
 
   afterEach(async () => {
     jest.useRealTimers();
     rpc.close();
-    links.close();
+    group.close();
     await Promise.all(sidecars.map(one => one.close()));
   });
 
-  const growthWish = PLANNING_READ;
+  const growthOptions = PLANNING_READ;
 
-  /** Ranks whose counters are read. */
+  /** Number of ranks whose counters are read. */
   const sampled = Math.ceil(size / Math.ceil(size / MAX_SAMPLED_RANKS));
 
-  it('reads every rank, and the growth of all or of a part', async () => {
-    await links.read(growthWish);
-    const reading = await links.read(growthWish);
+  it('reads every rank, and the growth of all ranks or of a sample', async () => {
+    await group.read(growthOptions);
+    const reading = await group.read(growthOptions);
     expect(reading.ranks.size).toBe(size);
     expect(reading.isDeposed).toBe(false);
     const sum = [...reading.growth!];
@@ -231,23 +231,26 @@
     );
   });
 
-  it('calls each hall once a tree, and has no sidecar call more than a few', async () => {
-    await links.read(growthWish);
+  it('calls each hall once per tree, and bounds the calls of each sidecar', async () => {
+    await group.read(growthOptions);
     const called = jest.spyOn(rpc, 'call');
-    const passedOn = sidecars.map(one => jest.spyOn(one.client, 'call'));
-    await links.read(growthWish);
+    const forwarded = sidecars.map(one => jest.spyOn(one.client, 'call'));
+    await group.read(growthOptions);
     const trees = sampled < size ? 2 : 1;
     expect(called).toHaveBeenCalledTimes(HALLS * trees);
-    passedOn.forEach(spy =>
+    forwarded.forEach(spy =>
       expect(spy.mock.calls.length).toBeLessThanOrEqual(MAX_BRANCHES),
     );
-    const total = passedOn.reduce((sum, spy) => sum + spy.mock.calls.length, 0);
+    const total = forwarded.reduce(
+      (sum, spy) => sum + spy.mock.calls.length,
+      0,
+    );
     expect(total + HALLS * trees).toBe(size);
   });
 
-  it('orders every rank once, in the order of the ranks', async () => {
-    const reading = await links.readAll();
-    const ranks = links.ranksOf(reading)!;
+  it('orders every rank once, with results in the order of the ranks', async () => {
+    const reading = await group.readAll();
+    const ranks = group.ranksOf(reading)!;
     const order: types.Order = {kind: 'hold', epoch: 1, step: 9};
     expect(await ranks.order(ranks.all, order)).toEqual(
       sidecars.map(() => 'done'),
@@ -257,19 +260,19 @@
     expect(sidecars[3]!.engine.orders.length).toBe(2);
   });
 
-  it('still reaches the ranks after the list was told anew', async () => {
-    const ranks = links.ranksOf(await links.readAll())!;
-    links.setMembers(sidecars.map(one => ({...one.member})));
+  it('still reaches the ranks after the list of members was set again', async () => {
+    const ranks = group.ranksOf(await group.readAll())!;
+    group.setMembers(sidecars.map(one => ({...one.member})));
     const order: types.Order = {kind: 'hold', epoch: 1, step: 9};
     const results = await ranks.order(ranks.all, order);
     expect(new Set(results)).toEqual(new Set(['done']));
     sidecars.forEach(one => expect(one.engine.orders.length).toBe(1));
   });
 
-  it('goes past a sidecar that is gone, the first of its branch too', async () => {
-    const ranks = links.ranksOf(await links.readAll())!;
+  it('reads the others and orders the rank directly if a branch head is gone', async () => {
+    const ranks = group.ranksOf(await group.readAll())!;
     await sidecars[0]!.close();
-    const reading = await links.read(growthWish);
+    const reading = await group.read(growthOptions);
     expect(reading.ranks.size).toBe(size - 1);
     const order: types.Order = {kind: 'hold', epoch: 1, step: 9};
     const results = await ranks.order(ranks.all, order);
@@ -280,10 +283,10 @@
       .forEach(one => expect(one.engine.orders).toEqual([order]));
   });
 
-  it('is told where a newer planner was heard', async () => {
-    const ranks = links.ranksOf(await links.readAll())!;
-    await sidecars[2]!.agent.read(9, 100, growthWish);
-    const reading = await links.read(growthWish);
+  it('learns that a sidecar has heard a newer planner', async () => {
+    const ranks = group.ranksOf(await group.readAll())!;
+    await sidecars[2]!.agent.read(9, 100, growthOptions);
+    const reading = await group.read(growthOptions);
     expect(reading.isDeposed).toBe(true);
     const order: types.Order = {kind: 'hold', epoch: 1, step: 9};
     expect((await ranks.order(ranks.all, order))[2]).toBe('deposed');
@@ -303,17 +306,17 @@
   }
   const first = packing.dealtMap({sets: 1, ranks: size, experts: EXPERTS});
 
-  it('tells a map as what changed, and whole to who lacks the base', async () => {
-    const ranks = links.ranksOf(await links.readAll())!;
+  it('sends a map as a difference, and in full where the base is missing', async () => {
+    const ranks = group.ranksOf(await group.readAll())!;
     const order = prepare(5, {version: 0, map: first});
-    const told = await ranks.order(ranks.all, order);
-    expect(new Set(told)).toEqual(new Set(['done']));
+    const firstResults = await ranks.order(ranks.all, order);
+    expect(new Set(firstResults)).toEqual(new Set(['done']));
     const next = map.map(held =>
       held.map((experts, rank) => (rank === 1 ? [0, 1, 2] : [...experts])),
     );
     sidecars[2]!.mapCache.clear();
-    const again = prepare(6, {version: 5, map}, next);
-    const results = await ranks.order(ranks.all, again);
+    const nextOrder = prepare(6, {version: 5, map}, next);
+    const results = await ranks.order(ranks.all, nextOrder);
     expect(new Set(results)).toEqual(new Set(['done']));
     for (const {engine} of sidecars) {
       const maps = engine.orders.flatMap(one =>
@@ -323,8 +326,8 @@
     }
   });
 
-  it('orders past the sidecars, none of which orders its own rank', async () => {
-    const ranks = links.ranksOf(await links.readAll())!;
+  it('orders remotely without any sidecar ordering its own rank', async () => {
+    const ranks = group.ranksOf(await group.readAll())!;
     const order: types.Order = {kind: 'arm', epoch: 1, version: 5, step: 9};
     const results = await ranks.orderRemotely(ranks.all, order);
     expect(results).toEqual(sidecars.map(() => 'done'));
@@ -340,51 +343,54 @@
       );
     });
     expect([...counts.values()]).toEqual(sidecars.map(() => 1));
-    const most = Math.max(...sidecars.map(one => one.others.size), direct.size);
-    const few = Math.max(Math.ceil(Math.sqrt(size)), MAX_BRANCHES);
-    expect(most).toBeLessThanOrEqual(few);
+    const maxOrdered = Math.max(
+      ...sidecars.map(one => one.others.size),
+      direct.size,
+    );
+    const limit = Math.max(Math.ceil(Math.sqrt(size)), MAX_BRANCHES);
+    expect(maxOrdered).toBeLessThanOrEqual(limit);
   });
 
-  it('orders every rank though helpers have stopped answering', async () => {
-    const ranks = links.ranksOf(await links.readAll())!;
+  it('orders every rank remotely although a helper does not answer', async () => {
+    const ranks = group.ranksOf(await group.readAll())!;
     await sidecars[0]!.close();
     const order: types.Order = {kind: 'arm', epoch: 1, version: 5, step: 9};
     const results = await ranks.orderRemotely(ranks.all, order);
     expect(results).toEqual(sidecars.map(() => 'done'));
   });
 
-  it('waits for a sidecar that went silent once, and then no more', async () => {
-    await links.read(growthWish);
+  it('delays only one reading for a sidecar that goes silent', async () => {
+    await group.read(growthOptions);
     sidecars[1]!.stall();
-    await links.read(growthWish);
+    await group.read(growthOptions);
     pauseClock();
-    // Some rounds call the silent one aside, which nobody may wait for.
+    // Some rounds retry the silent sidecar, which must not delay the reading.
     for (let round = 0; round < 6; round += 1) {
-      const reading = await withoutWaiting(links.read(growthWish));
+      const reading = await withoutWaiting(group.read(growthOptions));
       expect(reading?.ranks.size).toBe(size - 1);
       jest.advanceTimersByTime(200);
     }
   });
 
-  it('reads the others in a second while a whole hall is cut off', async () => {
-    await links.read(growthWish);
+  it('reads the others within 1.5 s while a whole hall is cut off', async () => {
+    await group.read(growthOptions);
     const cut = sidecars.filter(one => one.member.hall === 'hall-1');
     cut.forEach(one => one.stall());
-    const begunAt = performance.now();
-    const reading = await links.read(growthWish);
-    expect(performance.now() - begunAt).toBeLessThan(1_500);
+    const startedAt = performance.now();
+    const reading = await group.read(growthOptions);
+    expect(performance.now() - startedAt).toBeLessThan(1_500);
     expect(reading.ranks.size).toBe(size - cut.length);
   });
 
-  it('forgets a sidecar that fell silent as it was taken off the list', async () => {
-    await links.read(growthWish);
+  it('forgets a sidecar that went silent while it was removed from the list', async () => {
+    await group.read(growthOptions);
     sidecars[1]!.stall();
-    const reading = links.read(growthWish);
-    const left = sidecars.filter((_, at) => at !== 1);
-    links.setMembers(left.map(one => ({...one.member})));
+    const reading = group.read(growthOptions);
+    const remaining = sidecars.filter((_, at) => at !== 1);
+    group.setMembers(remaining.map(one => ({...one.member})));
     await reading;
     await new Promise(resolve => setTimeout(resolve, 450));
-    expect((await links.read(growthWish)).ranks.size).toBe(size - 1);
-    expect((await links.read(growthWish)).ranks.size).toBe(size - 1);
+    expect((await group.read(growthOptions)).ranks.size).toBe(size - 1);
+    expect((await group.read(growthOptions)).ranks.size).toBe(size - 1);
   });
 });
--- a/src/experts/group-client.ts
+++ b/src/experts/group-client.ts
@@ -1,7 +1,7 @@
 /**
- * How a planner reaches the sidecars of its group: in a tree with one branch a
- * hall, so that neither the bytes between halls nor the planner's link and
- * processor grow with the group.
+ * A planner's client for the sidecars of its group. Calls are forwarded along a
+ * tree with one branch per hall, which bounds the traffic between halls and the
+ * calls that the planner makes.
  */
 import type {RpcClient} from '../rpc/client';
 import * as app from './app';
@@ -20,56 +20,54 @@
 } from './types';
 
 /**
- * Longest wait for a sidecar that orders other ranks, in milliseconds: some
- * tries of the order, since the group may be held meanwhile.
+ * Leaves a helper time to retry the order; short because the group may be held.
  */
 const HELPER_TIMEOUT_MS = 250;
 /**
- * Ranks whose counters are read at most. Requests are spread over all ranks
- * alike, so a part of them tells what all are asked for, and counters are the most
- * of what a reading brings over narrow links.
+ * Ranks whose counters are read. Requests are spread evenly, so a sample shows
+ * the demand of all; counters are the largest part of a reading.
  */
 export const MAX_SAMPLED_RANKS = 32;
-/** Pause before a silent sidecar is called again, in milliseconds. */
 const SILENT_RETRY_INTERVAL_MS = 400;
 
-/** Asks for the states alone. */
 export const STATES_ONLY: ReadOptions = {
   growth: false,
   planning: false,
   held: false,
 };
-/** What a planner asks for once nothing is left of another's change. */
+/**
+ * Used by a planner once it has settled what its predecessor left unfinished.
+ */
 export const PLANNING_READ: ReadOptions = {
   growth: true,
   planning: true,
   held: false,
 };
 
-/** One sidecar of the group. */
+/** One rank of the group and its sidecar. */
 export interface Member {
-  /** Where its target listens. */
+  /** Address of the target. */
   readonly target: string;
-  /** Where it listens itself. */
+  /** Address of the sidecar. */
   readonly sidecar: string;
   readonly hall: string;
 }
 
-/** One round of readings. */
 export interface GroupReading {
-  /** By the sidecars' addresses. */
+  /** By sidecar address; lacks ranks that could not be read. */
   readonly ranks: ReadonlyMap<string, RankReading>;
+  /** A sidecar has heard a planner with a higher term. */
   readonly isDeposed: boolean;
+  /** Sum over the sampled ranks. */
   readonly growth: Float64Array | undefined;
 }
 
-/** What reaching a group needs. */
 export interface GroupClientContext {
   readonly rpc: RpcClient;
   term(): number;
-  /** Milliseconds between readings, told to the sidecars. */
+  /** Milliseconds between readings, sent to the sidecars. */
   periodMs(): number;
-  /** What sidecars are told of the group; undefined: nothing is known. */
+  /** Summary of the group, sent to the sidecars; undefined: none. */
   view(): GroupView | undefined;
   makeEngine(target: string): Engine;
 }
@@ -79,7 +77,9 @@
   /** Members whose counters are read. */
   private sample: ReadonlySet<Member> = new Set();
   private readonly engines = new Map<string, Engine>();
-  /** Sidecars that did not answer, and when they were called last. */
+  /**
+   * By address of a sidecar that did not answer: time of the last call to it.
+   */
   private readonly lastCallToSilent = new Map<string, number>();
 
   constructor(private readonly context: GroupClientContext) {}
@@ -111,33 +111,35 @@
   }
 
   /**
-   * Reads every sidecar that is heard. Silent ones are called aside now and
-   * then, so that one that stands still costs a reading its time-out once.
+   * Reads every responsive sidecar. Silent ones are retried in the background,
+   * so that a frozen one delays only one reading by its timeout.
    */
-  async read(wish: ReadOptions): Promise<GroupReading> {
+  async read(options: ReadOptions): Promise<GroupReading> {
     const now = performance.now();
     for (const [sidecar, at] of this.lastCallToSilent) {
       const member = this.members.find(one => one.sidecar === sidecar);
       if (member === undefined) {
-        // It fell silent as it was taken off the list.
+        // Marked silent by a call that was under way when it left the list.
         this.lastCallToSilent.delete(sidecar);
       } else if (now - at > SILENT_RETRY_INTERVAL_MS) {
         this.lastCallToSilent.set(sidecar, now);
         void this.readMembers([member], STATES_ONLY);
       }
     }
-    const heard = this.members.filter(one => this.isResponsive(one.sidecar));
-    if (!wish.growth) {
-      return this.readMembers(heard, wish);
+    const responsive = this.members.filter(one =>
+      this.isResponsive(one.sidecar),
+    );
+    if (!options.growth) {
+      return this.readMembers(responsive, options);
     }
     const [sample, others] = await Promise.all([
       this.readMembers(
-        heard.filter(one => this.sample.has(one)),
-        wish,
+        responsive.filter(one => this.sample.has(one)),
+        options,
       ),
       this.readMembers(
-        heard.filter(one => !this.sample.has(one)),
-        {...wish, growth: false},
+        responsive.filter(one => !this.sample.has(one)),
+        {...options, growth: false},
       ),
     ]);
     return {
@@ -147,35 +149,34 @@
     };
   }
 
-  /**
-   * Reads every rank, past sidecars that are silent too, which the platform
-   * charges for.
-   */
+  /** Reads every rank, directly where its sidecar is silent. */
   async readAll(): Promise<GroupReading> {
-    const wish: ReadOptions = {...STATES_ONLY, held: true};
+    const options: ReadOptions = {...STATES_ONLY, held: true};
     this.lastCallToSilent.clear();
-    const reading = await this.read(wish);
+    const reading = await this.read(options);
     const ranks = new Map(reading.ranks);
     await Promise.all(
       this.members
         .filter(member => this.lastCallToSilent.has(member.sidecar))
         .map(async member => {
-          const read = await agent.readRank(this.engineOf(member), true);
-          if (read !== undefined) {
-            ranks.set(member.sidecar, read);
+          const direct = await agent.readRank(this.engineOf(member), true);
+          if (direct !== undefined) {
+            ranks.set(member.sidecar, direct);
           }
         }),
     );
     return {...reading, ranks};
   }
 
-  /** The ranks of a reading, where it covers one open group. */
+  /**
+   * The ranks of a reading; undefined unless it covers one whole, open group.
+   */
   ranksOf(reading: GroupReading): GroupRanks | undefined {
     const states = [...reading.ranks.values()].map(one => one.state);
     return isCompleteGroup(states) ? this.partialRanksOf(reading) : undefined;
   }
 
-  /** The ranks of a reading; places that it lacks must not be asked for. */
+  /** The ranks of a partial reading; the missing ones must not be addressed. */
   partialRanksOf(reading: GroupReading): GroupRanks {
     const byRank: Member[] = [];
     for (const member of this.members) {
@@ -187,19 +188,21 @@
     return new GroupRanks(this, byRank);
   }
 
-  /** Orders some members; answers come in their order. */
+  /**
+   * Orders members through their sidecars, or directly; results in their order.
+   */
   async orderMembers(
     members: readonly Member[],
     order: Order,
   ): Promise<OrderResult[]> {
     const results = await this.orderInBranches(members, app.orderToWire(order));
-    const without = members.filter(
+    const lacking = members.filter(
       member => results.get(member.sidecar) === 'no-base',
     );
-    if (without.length > 0) {
+    if (lacking.length > 0) {
       const wire = app.orderToWire(order, true);
-      const again = await this.orderInBranches(without, wire);
-      again.forEach((result, sidecar) => results.set(sidecar, result));
+      const retried = await this.orderInBranches(lacking, wire);
+      retried.forEach((result, sidecar) => results.set(sidecar, result));
     }
     return Promise.all(
       members.map(member => {
@@ -214,9 +217,10 @@
   }
 
   /**
-   * Orders some members' engines past their sidecars. Few are ordered from
-   * here. Of many the first of each branch are, and then their sidecars order
-   * the rest: the group is held until the last has its order.
+   * Orders members' engines without their own sidecars. A small group is
+   * ordered directly. In a large one the first rank of each branch is ordered
+   * directly, and its sidecar then orders the others, since the group is held
+   * until all are done.
    */
   async orderRemotely(
     members: readonly Member[],
@@ -249,7 +253,7 @@
     return Promise.all(members.map(member => this.orderEngine(member, order)));
   }
 
-  /** Has a sidecar order ranks that are not its own. */
+  /** Has a sidecar order other ranks, or orders them directly if that fails. */
   private async orderViaSidecar(
     head: Member,
     others: readonly Member[],
@@ -274,7 +278,7 @@
     return this.orderEngines(others, order);
   }
 
-  /** Has a member's sidecar order the rank of another. */
+  /** Has the helper's sidecar order the rank of another member. */
   async orderThrough(
     helper: Member,
     member: Member,
@@ -313,13 +317,12 @@
     this.engines.clear();
   }
 
-  /** Reads some members through their sidecars. */
   private async readMembers(
     members: readonly Member[],
-    wish: ReadOptions,
+    options: ReadOptions,
   ): Promise<GroupReading> {
     const {rpc, term, periodMs, view} = this.context;
-    const call = {...wish, term: term(), periodMs: periodMs(), view: view()};
+    const call = {...options, term: term(), periodMs: periodMs(), view: view()};
     const ranks = new Map<string, RankReading>();
     let growth: Float64Array | undefined;
     let isDeposed = false;
@@ -342,7 +345,7 @@
     return {ranks, isDeposed, growth};
   }
 
-  /** Orders some members through their sidecars; results by sidecar. */
+  /** Returns results by sidecar address. */
   private async orderInBranches(
     members: readonly Member[],
     order: app.WireOrder,
@@ -352,10 +355,10 @@
     const results = new Map<string, branch.BranchOrderResult>();
     await Promise.all(
       this.branchesOf(members).map(async sidecars => {
-        const ends = await branch.orderBranch(rpc, call, sidecars);
-        ends.forEach((end, at) => {
-          results.set(sidecars[at]!, end);
-          this.recordAnswer(sidecars[at]!, end !== 'silent');
+        const branchResults = await branch.orderBranch(rpc, call, sidecars);
+        branchResults.forEach((result, at) => {
+          results.set(sidecars[at]!, result);
+          this.recordAnswer(sidecars[at]!, result !== 'silent');
         });
       }),
     );
@@ -363,10 +366,10 @@
   }
 
   /**
-   * Sidecars in branches of one hall each, so that halls exchange one answer
-   * and one sum of counters instead of one a rank: bytes between halls are paid
-   * for. Those of one hall are divided like those behind any head. Sidecars that
-   * are heard come first.
+   * Sidecars in one branch per hall, so that one answer and one sum of counters
+   * pass between halls instead of one per rank: that traffic is charged for. A
+   * single hall is split like the members of any branch. Responsive sidecars
+   * come first, as heads.
    */
   private branchesOf(members: readonly Member[]): string[][] {
     const byHall = new Map<string, string[]>();
@@ -383,7 +386,7 @@
     return halls.length === 1 ? branch.splitIntoBranches(only!) : halls;
   }
 
-  /** Past a sidecar; the platform charges for it. */
+  /** Orders the engine directly, which the platform charges for. */
   private orderEngine(member: Member, order: Order): Promise<OrderResult> {
     return agent.executeOrder(this.engineOf(member), order);
   }
@@ -419,53 +422,52 @@
     return this.members.length;
   }
 
-  readStates(places: readonly number[]) {
-    return this.client.readStates(places.map(place => this.members[place]!));
+  readStates(ranks: readonly number[]) {
+    return this.client.readStates(ranks.map(rank => this.members[rank]!));
   }
 
-  order(places: readonly number[], order: Order) {
+  order(ranks: readonly number[], order: Order) {
     return this.client.orderMembers(
-      places.map(place => this.members[place]!),
+      ranks.map(rank => this.members[rank]!),
       order,
     );
   }
 
-  orderRemotely(places: readonly number[], order: Order) {
+  orderRemotely(ranks: readonly number[], order: Order) {
     return this.client.orderRemotely(
-      places.map(place => this.members[place]!),
+      ranks.map(rank => this.members[rank]!),
       order,
     );
   }
 
-  orderThrough(helper: number, place: number, order: Order) {
+  orderThrough(helper: number, rank: number, order: Order) {
     return this.client.orderThrough(
       this.members[helper]!,
-      this.members[place]!,
-      place,
+      this.members[rank]!,
+      rank,
       order,
     );
   }
 
-  /** Where the rank of a place listens. */
-  targetOf(place: number): string {
-    return this.members[place]!.target;
+  targetOf(rank: number): string {
+    return this.members[rank]!.target;
   }
 
-  /** Places whose sidecars answer. */
+  /** Ranks whose sidecars answer. */
   get responsive(): number[] {
-    return this.all.filter(place =>
-      this.client.isResponsive(this.members[place]!.sidecar),
+    return this.all.filter(rank =>
+      this.client.isResponsive(this.members[rank]!.sidecar),
     );
   }
 }
 
-/** Some members at even distances, or all of few. */
+/** At most `MAX_SAMPLED_RANKS` members at even intervals. */
 function sampleMembers(members: readonly Member[]): Set<Member> {
-  const every = Math.ceil(members.length / MAX_SAMPLED_RANKS);
-  return new Set(members.filter((_, at) => at % every === 0));
+  const interval = Math.ceil(members.length / MAX_SAMPLED_RANKS);
+  return new Set(members.filter((_, at) => at % interval === 0));
 }
 
-/** True where the states are those of one open group, each rank once. */
+/** True if the states are those of one open group, each rank once. */
 function isCompleteGroup(states: readonly RankState[]): boolean {
   const [first] = states;
   return (
--- a/src/experts/group-member.ts
+++ b/src/experts/group-member.ts
@@ -1,7 +1,7 @@
 /**
- * One rank's part in planning for its group. The member that holds the seat
- * follows the list of targets and the configuration; the others ask the store
- * for nothing.
+ * One rank's part in planning for its group. Only the member that is the
+ * planner watches the list of targets and the configuration; the others access
+ * the store for the election alone.
  */
 import {Log} from '../observability/log';
 import {Metrics} from '../observability/metrics';
@@ -20,27 +20,22 @@
 import {PlannerElection, ElectionContext} from './planner-election';
 import type {Engine, RankState} from './types';
 
-/** Longest wait for a member's word on that, in milliseconds. */
+/** Timeout of asking a member whether it hears a planner. */
 const HEARING_TIMEOUT_MS = 80;
-/** Milliseconds that the planner's watches wait for a change. */
 const WATCH_TIMEOUT_MS = 25_000;
-/** Members that are asked for their word; more would tell no more. */
+/** Members that are asked whether they hear a planner. */
 const MAX_ASKED_MEMBERS = 12;
-/**
- * Time that a planner has to be heard by a process that has just started, in
- * milliseconds: some of its readings.
- */
+/** Time for a process that has just started to hear the present planner. */
 const STARTUP_DELAY_MS = 200;
-/** Time between members' turns at a seat that is free, in milliseconds. */
+/** Election delay of each rank after the one before it. */
 const RANK_DELAY_MS = 50;
-/** Pause between questions to an engine that is no rank yet. */
+/** Interval of reading an engine that is not a rank yet. */
 const RANK_POLL_INTERVAL_MS = 200;
 
-/** What a member needs of its process. */
 export interface MemberContext {
   /** Name of the instance. */
   readonly id: string;
-  /** Names this life of the process. */
+  /** Unique to one run of the process. */
   readonly life: string;
   readonly service: string;
   readonly rpcPort: number;
@@ -88,7 +83,7 @@
     });
   }
 
-  /** Takes part from when the engine is a rank of a group. */
+  /** Waits until the engine is a rank of a group, then runs until closed. */
   async run(): Promise<void> {
     const {context} = this;
     while (!this.isClosed) {
@@ -126,8 +121,8 @@
   }
 
   electionDelayMs(): number {
-    const {hasHeardPlanner: hasHeard} = this.context.agent;
-    return this.rank * RANK_DELAY_MS + (hasHeard ? 0 : STARTUP_DELAY_MS);
+    const {hasHeardPlanner} = this.context.agent;
+    return this.rank * RANK_DELAY_MS + (hasHeardPlanner ? 0 : STARTUP_DELAY_MS);
   }
 
   onElected(): void {
@@ -164,18 +159,18 @@
   async close(): Promise<void> {
     this.isClosed = true;
     this.planner.close();
-    this.watches.forEach(loop => loop.close());
+    this.watches.forEach(watch => watch.close());
     await this.election?.close();
     this.groupClient.close();
   }
 
-  /** Only the planner follows the store. */
+  /** Watches the store only while this member is the planner. */
   private updateWatches(): void {
-    const isHolding = (this.election?.term ?? 0) !== 0;
-    if (isHolding && this.watches.length === 0 && !this.isClosed) {
+    const isPlanner = (this.election?.term ?? 0) !== 0;
+    if (isPlanner && this.watches.length === 0 && !this.isClosed) {
       this.watches = this.startWatches();
-    } else if (!isHolding && this.watches.length > 0) {
-      this.watches.forEach(loop => loop.close());
+    } else if (!isPlanner && this.watches.length > 0) {
+      this.watches.forEach(watch => watch.close());
       this.watches = [];
     }
   }
@@ -205,14 +200,14 @@
     }
     const {items, removed} = event.listing;
     const found = items.flatMap(item => this.readTarget(item));
-    const read = new Set(found.map(target => target.id));
+    const validIds = new Set(found.map(target => target.id));
     const isListed = event.kind === 'listed';
-    const named = new Set(
+    const names = new Set(
       (isListed ? items.map(item => item.key) : removed).map(objects.nameOf),
     );
-    // An entry that tells of no target takes nobody's place.
+    // A member whose entry is present but invalid is kept.
     const kept = this.members.filter(
-      ({id}) => !read.has(id) && named.has(id) === isListed,
+      ({id}) => !validIds.has(id) && names.has(id) === isListed,
     );
     this.setMembers([...kept, ...found]);
   }
@@ -242,14 +237,14 @@
     return target.ok ? [target.value] : [];
   }
 
-  /** A rank's newest life is the one that counts at its address. */
+  /** Of targets with the same address, only the newest revision is a member. */
   private setMembers(targets: readonly Target[]): void {
     const byAddress = new Map<string, Target>();
     for (const target of targets) {
       const isMember =
         target.service === this.context.service && target.group === this.group;
-      const held = byAddress.get(target.address);
-      if (isMember && (held?.revision ?? 0) < target.revision) {
+      const newest = byAddress.get(target.address);
+      if (isMember && (newest?.revision ?? 0) < target.revision) {
         byAddress.set(target.address, target);
       }
     }
@@ -268,7 +263,7 @@
     return state.ok ? state.value : undefined;
   }
 
-  /** Every sidecar stands on its target's instance, at the same port. */
+  /** Sidecars run on their targets' instances, all on the same port. */
   private sidecarOf(target: Target): string {
     const [host] = target.address.split(':', 1);
     return `${host}:${this.context.rpcPort}`;
--- a/src/experts/map-cache.test.ts
+++ b/src/experts/map-cache.test.ts
@@ -19,15 +19,15 @@
   return map.map(held => [...held.slice(0, 2), [...held[2]!, expert]]);
 }
 
-describe('maps that are told as differences', () => {
-  it('are worked out one after the other', () => {
-    const maps = new MapCache();
+describe('maps sent as differences', () => {
+  it('are unpacked from the map before', () => {
+    const cache = new MapCache();
     const second = withExpert(INITIAL, 0);
     const third = withExpert(second, 1);
     const one = prepare(7, second, {version: 0, map: INITIAL});
     const two = prepare(8, third, {version: 7, map: second});
     for (const order of [one, two]) {
-      const read = app.orderFromWire(app.orderToWire(order), maps);
+      const read = app.orderFromWire(app.orderToWire(order), cache);
       expect(read).toMatchObject({
         version: (order as {version: number}).version,
       });
@@ -37,36 +37,36 @@
     }
   });
 
-  it('are refused where the one before is not known, and then told whole', () => {
-    const maps = new MapCache();
+  it('need their base, or are sent as a difference from the initial map', () => {
+    const cache = new MapCache();
     const order = prepare(8, withExpert(INITIAL, 1), {
       version: 7,
       map: INITIAL,
     });
-    expect(app.orderFromWire(app.orderToWire(order), maps)).toBe('no-base');
-    const whole = app.orderFromWire(app.orderToWire(order, true), maps);
-    expect((whole as {map: unknown}).map).toEqual(withExpert(INITIAL, 1));
+    expect(app.orderFromWire(app.orderToWire(order), cache)).toBe('no-base');
+    const full = app.orderFromWire(app.orderToWire(order, true), cache);
+    expect((full as {map: unknown}).map).toEqual(withExpert(INITIAL, 1));
   });
 
-  it('are not taken for those of another epoch', () => {
-    const maps = new MapCache();
-    maps.add(3, 7, withExpert(INITIAL, 0));
-    expect(maps.find(4, 7, SHAPE)).toBeUndefined();
-    maps.add(4, 9, INITIAL);
-    expect(maps.find(3, 7, SHAPE)).toBeUndefined();
+  it('are not mistaken for those of another epoch', () => {
+    const cache = new MapCache();
+    cache.add(3, 7, withExpert(INITIAL, 0));
+    expect(cache.find(4, 7, SHAPE)).toBeUndefined();
+    cache.add(4, 9, INITIAL);
+    expect(cache.find(3, 7, SHAPE)).toBeUndefined();
   });
 
-  it('keeps a few of them', () => {
-    const maps = new MapCache();
+  it('are cached up to a limit', () => {
+    const cache = new MapCache();
     for (let version = 1; version <= 9; version += 1) {
-      maps.add(4, version, INITIAL);
+      cache.add(4, version, INITIAL);
     }
-    expect(maps.find(4, 9, SHAPE)).toEqual(INITIAL);
-    expect(maps.find(4, 6, SHAPE)).toEqual(INITIAL);
-    expect(maps.find(4, 5, SHAPE)).toBeUndefined();
+    expect(cache.find(4, 9, SHAPE)).toEqual(INITIAL);
+    expect(cache.find(4, 6, SHAPE)).toEqual(INITIAL);
+    expect(cache.find(4, 5, SHAPE)).toBeUndefined();
   });
 
-  it('refuses what is no map', () => {
+  it('are refused if malformed', () => {
     const wire = app.orderToWire(
       prepare(8, INITIAL, {version: 0, map: INITIAL}),
     );
--- a/src/experts/map-cache.ts
+++ b/src/experts/map-cache.ts
@@ -1,16 +1,14 @@
 /**
- * Maps that a sidecar was told lately, so that the next one can be told as what
- * differs from one of them. A version names one map for as long as an epoch of
- * the group lasts.
+ * Cache of the maps that a sidecar received last, as bases of maps that are
+ * sent as differences. A version is unique only within an epoch of the group.
  */
 import * as packing from './packing';
 import type {ExpertMap} from './types';
 
-/** The map that every group starts with has this version. */
+/** Version of the map that every group starts with. */
 export const INITIAL_MAP_VERSION = 0;
 /**
- * Maps kept: the one in force, the one prepared, and one or two that were
- * given up between them.
+ * The active map, the prepared one, and up to two abandoned ones in between.
  */
 const MAX_MAPS = 4;
 
@@ -20,7 +18,6 @@
   readonly map: ExpertMap;
 }
 
-/** The maps that one sidecar was told last. */
 export class MapCache {
   private cached: CachedMap[] = [];
 
@@ -31,12 +28,11 @@
     this.cached = [{epoch, version, map}, ...others].slice(0, MAX_MAPS);
   }
 
-  /** As after a start of the process. */
   clear(): void {
     this.cached = [];
   }
 
-  /** Undefined where the map is not known, or not known any more. */
+  /** Undefined if the map is not cached. */
   find(
     epoch: number,
     version: number,
--- a/src/experts/pass-clock.ts
+++ b/src/experts/pass-clock.ts
@@ -1,19 +1,20 @@
-/** How long the passes of a group take, from what its step counter shows. */
+/** Estimates the duration of a group's passes from its step counter. */
 
-/** Weight of the newest time in the mean. */
 const EWMA_ALPHA = 0.3;
-/** Taken until two readings tell, in milliseconds. */
+/** Assumed until a pass has been timed. */
 const INITIAL_PASS_MS = 80;
-/** An idle group's step stands still; longer times tell nothing. */
+/** Longer times are ignored: the step of an idle group does not advance. */
 const MAX_PASS_MS = 1_000;
-/** More is never needed, and would delay the change of a fast group. */
+/** Bounds the delay of a map change in a group with short passes. */
 export const MAX_PASSES_AHEAD = 8;
 
 export class PassClock {
   private last: {readonly step: number; readonly at: number} | undefined;
   private meanMs = INITIAL_PASS_MS;
 
-  /** Takes the pass that began last; `now` is monotonic. */
+  /**
+   * `step` is the pass that began last; `now` is monotonic, in milliseconds.
+   */
   record(step: number, now: number): void {
     const {last} = this;
     if (last !== undefined && step > last.step) {
@@ -32,12 +33,12 @@
   }
 
   /**
-   * Passes that begin within the next `ms`, as far as can be told: where the
-   * last one was seen to begin, and how long they take.
+   * Estimated number of passes that begin within the next `ms`, at most
+   * `MAX_PASSES_AHEAD`.
    */
   passesIn(ms: number, now: number): number {
     const sinceLastMs = this.last === undefined ? 0 : now - this.last.at;
-    // A pass that takes longer than most is about to end.
+    // An overdue pass is assumed to be about to end.
     const elapsedMs = Math.min(sinceLastMs, this.meanMs);
     const passes = Math.floor((elapsedMs + ms) / this.meanMs);
     return Math.min(passes, MAX_PASSES_AHEAD);
--- a/src/experts/planner-election.ts
+++ b/src/experts/planner-election.ts
@@ -1,63 +1,62 @@
 /**
- * Who plans for a group: one object in the store, changed by conditional
- * writes. Its revision is the planner's term, so that a later planner always
- * has a higher one. A planner reads every rank several times a second, which
- * tells the others that it lives; the store is asked only when it is silent,
- * and by one member after the other.
+ * Elects the planner of a group by conditional writes to one object in the
+ * store, whose revision is the planner's term. The planner's readings serve as
+ * heartbeats for the other members, which access the store only when these
+ * stop, in the order of their ranks.
  */
 import * as v from 'valibot';
 import {Log} from '../observability/log';
 import type {ObjectApi} from '../platform/client';
 import * as random from '../random';
 
-/** Milliseconds between looks whether a planner is heard. */
 const CHECK_INTERVAL_MS = 80;
-/** Pause after the store or the other members did not answer. */
 const MIN_BACKOFF_MS = 500;
-/** The longest such pause; it doubles while a member fails. */
 const MAX_BACKOFF_MS = 4_000;
-/** Time for a new holder to be heard. */
+/** Time for a planner that has just been elected to make its first reading. */
 const NEW_PLANNER_GRACE_MS = 150;
-/** Head start of the others for a seat that was just lost. */
+/** Lets other members run first after this one has stepped down. */
 const STEP_DOWN_COOLDOWN_MS = 900;
 
 const plannerRecordSchema = v.object({
   holder: v.string(),
-  /** Names one life of the holder. */
+  /** Unique to one run of the holder's process. */
   life: v.string(),
-  /** Its own rank. */
+  /** Rank of the holder. */
   rank: v.number(),
 });
-/** Nobody holds the seat. */
+/** Rank in the record while there is no planner. */
 const NO_RANK = -1;
 
 type PlannerRecord = v.InferOutput<typeof plannerRecordSchema>;
 
-/** What a seat asks of the member of the group that wants it. */
+/** The election's view of the member that runs it. */
 export abstract class ElectionContext {
-  /** Highest term of a planner that was heard. */
+  /** Highest term of a planner heard so far. */
   abstract heardTerm(): number;
-  /** True while a planner has been heard lately. */
   abstract isPlannerHeard(): boolean;
-  /** True where most members are reached and none hears a planner. */
+  /**
+   * True if a majority of the members asked answers and none hears a planner.
+   */
   abstract canBecomePlanner(): Promise<boolean>;
-  /** Milliseconds that members before this one have to take the seat. */
+  /** Head start of the members with lower ranks, in milliseconds. */
   abstract electionDelayMs(): number;
-  /** The seat was taken: the others should hear of it soon. */
+  /** This member has become the planner; the others should hear of it soon. */
   abstract onElected(): void;
 }
 
 export class PlannerElection {
-  /** The term while this process holds the seat; 0: it does not. */
+  /** Term of this process as the planner; 0: it is not the planner. */
   term = 0;
-  /** Rank of the planner before this one; undefined: not known. */
+  /** Rank of the previous planner; undefined: unknown. */
   previousRank: number | undefined;
-  /** A term that was lost is not taken up again. */
+  /** Last term that this process stepped down from, and does not resume. */
   private lostTerm = 0;
   private lastSeenVersion = 0;
   private cooldownUntil = 0;
   private isClosed = false;
-  /** When the planner was first missed; undefined: it is heard. */
+  /**
+   * Since when no planner is heard; undefined: one is, or the cooldown runs.
+   */
   private plannerMissedAt: number | undefined;
   private backoffMs = MIN_BACKOFF_MS;
 
@@ -69,7 +68,7 @@
     private readonly log: Log,
   ) {}
 
-  /** Watches over the seat until closed. */
+  /** Runs until closed. */
   async run(): Promise<void> {
     while (!this.isClosed) {
       const pauseMs = await this.check();
@@ -77,7 +76,9 @@
     }
   }
 
-  /** A rank has heard of a newer planner, or this one can't go on. */
+  /**
+   * Called when a newer planner was heard somewhere or this one cannot go on.
+   */
   stepDown(): void {
     if (this.term !== 0) {
       this.log.event('seatLost', {seat: this.key, term: this.term});
@@ -87,7 +88,7 @@
     }
   }
 
-  /** Gives the seat up, so that another need not wait. */
+  /** Clears the record if this process is the planner, and stops. */
   async close(): Promise<void> {
     this.isClosed = true;
     const {term} = this;
@@ -99,18 +100,19 @@
     }
   }
 
+  /** Returns the pause before the next check, in milliseconds. */
   private async check(): Promise<number> {
     const now = performance.now();
-    const isPausing = now < this.cooldownUntil;
-    if (this.term !== 0 || isPausing || this.context.isPlannerHeard()) {
+    const isCoolingDown = now < this.cooldownUntil;
+    if (this.term !== 0 || isCoolingDown || this.context.isPlannerHeard()) {
       this.plannerMissedAt = undefined;
       this.backoffMs = MIN_BACKOFF_MS;
       return random.jitter(CHECK_INTERVAL_MS);
     }
     this.plannerMissedAt ??= now;
-    const turnIn = this.plannerMissedAt + this.context.electionDelayMs() - now;
-    if (turnIn > 0) {
-      return Math.min(turnIn, CHECK_INTERVAL_MS);
+    const delayMs = this.plannerMissedAt + this.context.electionDelayMs() - now;
+    if (delayMs > 0) {
+      return Math.min(delayMs, CHECK_INTERVAL_MS);
     }
     return (await this.context.canBecomePlanner())
       ? this.acquire()
@@ -123,16 +125,17 @@
     return random.jitter(pauseMs);
   }
 
+  /** Tries to become the planner; returns the pause before the next check. */
   private async acquire(): Promise<number> {
-    const got = await this.store.get(this.key);
-    if (!got.ok) {
+    const read = await this.store.get(this.key);
+    if (!read.ok) {
       return this.nextBackoffMs();
     }
-    const version = got.value?.version ?? 0;
-    const parsed = v.safeParse(plannerRecordSchema, got.value?.value);
+    const version = read.value?.version ?? 0;
+    const parsed = v.safeParse(plannerRecordSchema, read.value?.value);
     const isOwn = parsed.success && parsed.output.life === this.ownRecord.life;
     if (isOwn && version > this.lostTerm) {
-      // A write whose answer was lost has taken effect.
+      // An earlier write took effect although its answer was lost.
       this.becomePlanner(version);
       return CHECK_INTERVAL_MS;
     }
@@ -141,7 +144,7 @@
       version > this.context.heardTerm() &&
       version !== this.lastSeenVersion
     ) {
-      // Somebody else has just taken it and will soon be heard.
+      // Another member has just been elected and will soon be heard.
       this.lastSeenVersion = version;
       return NEW_PLANNER_GRACE_MS;
     }
--- a/src/experts/rank-agent.test.ts
+++ b/src/experts/rank-agent.test.ts
@@ -19,7 +19,6 @@
   slowness: 1,
 };
 
-/** An engine whose counters a test sets. */
 class CountingEngine extends types.Engine {
   counters: types.ExpertCounts = {born: 1_000, values: [10, 20]};
 
@@ -48,26 +47,26 @@
   const engine = new CountingEngine();
   const agent = new RankAgent(engine, () => engine, SILENT_LOG);
 
-  async function growth(told: types.ExpertCounts): Promise<number[]> {
-    engine.counters = told;
+  async function growth(counters: types.ExpertCounts): Promise<number[]> {
+    engine.counters = counters;
     const reading = await agent.read(1, 50, OPTIONS);
     return Array.from(reading.growth ?? []);
   }
 
   beforeAll(() => agent.primeCounters());
 
-  it('is what was added since the reading before', async () => {
+  it('is the difference from the previous reading', async () => {
     expect(await growth({born: 1_000, values: [15, 20]})).toEqual([5, 0]);
   });
 
-  // A rank that was frozen or cut off for long may count beyond what it had
-  // counted in the lifetime before.
-  it('is none across a restart, though the counters be higher', async () => {
+  // A restarted rank that was out of reach for long may have counted beyond its
+  // counters of before the restart.
+  it('is none across a restart even if the counters are higher', async () => {
     expect(await growth({born: 9_000, values: [40, 60]})).toEqual([]);
     expect(await growth({born: 9_000, values: [41, 60]})).toEqual([1, 0]);
   });
 
-  it('is none where a counter fell and no start is told', async () => {
+  it('is none if a counter fell and no start is reported', async () => {
     expect(await growth({born: undefined, values: [50, 60]})).toEqual([]);
     expect(await growth({born: undefined, values: [2, 70]})).toEqual([]);
     expect(await growth({born: undefined, values: [3, 70]})).toEqual([1, 0]);
--- a/src/experts/rank-agent.ts
+++ b/src/experts/rank-agent.ts
@@ -1,6 +1,6 @@
 /**
- * The sidecar's side of a map change: it gives its own rank orders on behalf
- * of the planner with the highest term that it has heard of.
+ * The sidecar's side of a map change: reads its rank and orders ranks on behalf
+ * of the planner with the highest term heard so far, and refuses all others.
  */
 import * as rxjs from 'rxjs';
 import {Log} from '../observability/log';
@@ -18,49 +18,48 @@
   ReadOptions,
 } from './types';
 
-/** Tries of an order whose answer does not come. */
 const MAX_ORDER_TRIES = 12;
-/** Pause between looks at a copy under way, in milliseconds. */
 const COPY_POLL_INTERVAL_MS = 8;
-/** Time for tries of an order to another's rank: the planner waits for it. */
+/** Below the planner's timeout for the call that asks for the order. */
 const OTHER_ORDER_TIMEOUT_MS = 180;
 /**
- * Time between looks whether the group is open, while no planner reads the rank
- * and somebody asks, in milliseconds. They cost nothing on the own instance.
+ * Interval between reads of the status in `waitForChange` if no planner is
+ * heard.
  */
 const STATUS_POLL_INTERVAL_MS = 40;
-/** Periods of a planner's readings that it may miss and still be heard. */
+/** A planner counts as heard for this many periods after its last call. */
 const MAX_MISSED_PERIODS = 4.5;
-/** Longest time between readings that a planner may name, in milliseconds. */
+/** Upper bound of the reading period that a planner may ask for. */
 const MAX_PERIOD_MS = 2_000;
 const INITIAL_PERIOD_MS = 100;
 /**
- * Engines of other ranks that a connection is kept to: those of one branch.
- * A new connection costs a round trip while the group may be held.
+ * Engines of other ranks with a kept connection, enough for one branch: a new
+ * connection costs a round trip while the group may be held.
  */
 const MAX_OTHER_ENGINES = 24;
 
-/** One reading of a rank for a planner. */
 export interface AgentReading {
   readonly answer: ReadAnswer;
-  /** Growth of the counters since the reading before. */
+  /** Undefined: not requested, or no earlier counters to compare with. */
   readonly growth: Growth | undefined;
 }
 
 export class RankAgent {
-  /** Highest term of a planner that was heard. */
+  /** Highest term of a planner heard so far; 0: none. */
   term = 0;
   private plannerHeardAt = -Infinity;
   private periodMs = INITIAL_PERIOD_MS;
   private counters: ExpertCounts | undefined;
-  /** Undefined until a planner has learnt what there was before. */
+  /** Undefined until a planner has read the rank with `planning` set. */
   private lastSentArm: SentArm | null | undefined;
-  /** Whether the own rank saw its group open, and when. */
+  /** The own rank's last report of whether its group is open. */
   private lastStatus:
     {readonly isOpen: boolean; readonly at: number} | undefined;
   private readonly changes = new rxjs.Subject<void>();
+  /** The planner's last summary of the group; undefined: it has none. */
+  /** The planner's last summary of the group; undefined: it has none. */
   private report: {readonly view: GroupView; readonly at: number} | undefined;
-  /** Engines of other ranks that were ordered lately, oldest first. */
+  /** By target; the least recently used first. */
   private readonly otherEngines = new Map<string, Engine>();
 
   constructor(
@@ -69,12 +68,11 @@
     private readonly log: Log,
   ) {}
 
-  /** True once a planner was heard. */
   get hasHeardPlanner(): boolean {
     return this.term > 0;
   }
 
-  /** Takes the counters as they stand, so that the first reading has growth. */
+  /** Reads the counters once, so that the first reading has growth. */
   async primeCounters(): Promise<void> {
     const counters = await this.engine.counts();
     if (counters.ok) {
@@ -82,17 +80,18 @@
     }
   }
 
-  /** True while a planner has been heard lately. */
   get isPlannerHeard(): boolean {
     const silentMs = performance.now() - this.plannerHeardAt;
     return silentMs < this.periodMs * MAX_MISSED_PERIODS;
   }
 
-  /** Reads the rank for the planner of a term, which comes again in a while. */
+  /**
+   * Reads the rank for the planner of a term, which reads it every `periodMs`.
+   */
   async read(
     term: number,
     periodMs: number,
-    wish: ReadOptions,
+    options: ReadOptions,
     view?: GroupView,
   ): Promise<AgentReading> {
     if (!this.acceptTerm(term)) {
@@ -102,8 +101,8 @@
     this.changes.next();
     this.periodMs = Math.min(periodMs, MAX_PERIOD_MS);
     const [reading, counters] = await Promise.all([
-      readRank(this.engine, wish.held),
-      wish.growth ? this.engine.counts() : undefined,
+      readRank(this.engine, options.held),
+      options.growth ? this.engine.counts() : undefined,
     ]);
     if (reading === undefined) {
       return {answer: {kind: 'no-rank'}, growth: undefined};
@@ -112,62 +111,65 @@
     const growth = counters?.ok
       ? this.updateCounters(counters.value)
       : undefined;
-    const {lastSentArm: gave} = this;
-    if (wish.planning && gave === undefined) {
+    const {lastSentArm} = this;
+    if (options.planning && lastSentArm === undefined) {
       this.lastSentArm = null;
     }
-    return {answer: {kind: 'read', reading: {...reading, gave}}, growth};
+    return {
+      answer: {kind: 'read', reading: {...reading, gave: lastSentArm}},
+      growth,
+    };
   }
 
-  /** What the planner told last of the group, and how long ago. */
+  /** The planner's last summary of the group and its age. */
   get groupView(): {view: GroupView; ageMs: number} | undefined {
-    const {report: heard} = this;
-    return heard && {view: heard.view, ageMs: performance.now() - heard.at};
+    const {report} = this;
+    return report && {view: report.view, ageMs: performance.now() - report.at};
   }
 
-  /** What the own rank told last of its group, and how long ago. */
+  /** The own rank's last report of whether its group is open, and its age. */
   get groupStatus(): {isOpen: boolean; ageMs: number} | undefined {
-    const {lastStatus: lastSeen} = this;
+    const {lastStatus} = this;
     return (
-      lastSeen && {
-        isOpen: lastSeen.isOpen,
-        ageMs: performance.now() - lastSeen.at,
+      lastStatus && {
+        isOpen: lastStatus.isOpen,
+        ageMs: performance.now() - lastStatus.at,
       }
     );
   }
 
   /**
-   * Resolves when a planner has told something, the group has opened or closed,
-   * or after the wait.
+   * Resolves when a planner reads, the group opens or closes, or after
+   * `waitMs`.
    */
   async waitForChange(waitMs: number): Promise<void> {
-    const {lastStatus: lastSeen} = this;
+    const {lastStatus} = this;
     const endsAt = performance.now() + Math.min(waitMs, MAX_PERIOD_MS);
     for (;;) {
       if (!this.isPlannerHeard) {
         await this.refreshStatus();
       }
       const leftMs = endsAt - performance.now();
-      if (leftMs <= 0 || this.lastStatus?.isOpen !== lastSeen?.isOpen) {
+      if (leftMs <= 0 || this.lastStatus?.isOpen !== lastStatus?.isOpen) {
         return;
       }
-      const mayWaitMs = this.isPlannerHeard
+      const pollMs = this.isPlannerHeard
         ? leftMs
         : Math.min(leftMs, STATUS_POLL_INTERVAL_MS);
-      const isTold = await rxjs.firstValueFrom(
+      const isNotified = await rxjs.firstValueFrom(
         rxjs.race(
           this.changes.pipe(rxjs.map(() => true)),
-          rxjs.timer(mayWaitMs).pipe(rxjs.map(() => false)),
+          rxjs.timer(pollMs).pipe(rxjs.map(() => false)),
         ),
         {defaultValue: true},
       );
-      if (isTold) {
+      if (isNotified) {
         return;
       }
     }
   }
 
-  /** Carries an order out for the planner of a term. */
+  /** Orders the own rank for the planner of a term. */
   async order(term: number, order: Order): Promise<OrderResult> {
     if (!this.acceptTerm(term)) {
       this.log.event('staleOrderRefused', {
@@ -186,7 +188,9 @@
     return result;
   }
 
-  /** Gives another rank an order for the planner of a term. */
+  /**
+   * Orders another rank for the planner of a term, and records an arm order.
+   */
   async orderOther(
     term: number,
     to: {readonly target: string; readonly rank: number},
@@ -195,7 +199,7 @@
     if (!this.acceptTerm(term)) {
       return 'deposed';
     }
-    const given: SentArm | undefined =
+    const sentArm: SentArm | undefined =
       order.kind === 'arm'
         ? {
             epoch: order.epoch,
@@ -205,23 +209,23 @@
             isConfirmed: false,
           }
         : undefined;
-    // Noted before anything is sent: whoever asks later must know of it.
-    this.lastSentArm = given ?? this.lastSentArm;
+    // Recorded before it is sent: a reading made meanwhile must include it.
+    this.lastSentArm = sentArm ?? this.lastSentArm;
     const engine = this.engineOf(to.target);
     const endsAt = performance.now() + OTHER_ORDER_TIMEOUT_MS;
-    const mayGoOn = () => this.term === term && performance.now() < endsAt;
-    const result = await executeOrder(engine, order, mayGoOn);
-    if (given !== undefined && this.lastSentArm === given) {
-      this.lastSentArm = result === 'refused' ? null : given;
-      given.isConfirmed = result === 'done';
+    const mayContinue = () => this.term === term && performance.now() < endsAt;
+    const result = await executeOrder(engine, order, mayContinue);
+    if (sentArm !== undefined && this.lastSentArm === sentArm) {
+      this.lastSentArm = result === 'refused' ? null : sentArm;
+      sentArm.isConfirmed = result === 'done';
     }
     this.logFailure(order, result);
     return result;
   }
 
   /**
-   * Gives other ranks an order for the planner of a term. Unlike `orderOther`
-   * it is not remembered: it says nothing of the planner's own rank.
+   * Orders other ranks for the planner of a term. Unlike `orderOther`, it
+   * records no arm order, since none of them is for the planner's own rank.
    */
   async orderOthers(
     term: number,
@@ -232,10 +236,10 @@
       return targets.map(() => 'deposed');
     }
     const endsAt = performance.now() + OTHER_ORDER_TIMEOUT_MS;
-    const mayGoOn = () => this.term === term && performance.now() < endsAt;
+    const mayContinue = () => this.term === term && performance.now() < endsAt;
     return Promise.all(
       targets.map(target =>
-        executeOrder(this.engineOf(target), order, mayGoOn),
+        executeOrder(this.engineOf(target), order, mayContinue),
       ),
     );
   }
@@ -246,7 +250,7 @@
     this.otherEngines.clear();
   }
 
-  /** Looks whether the group is open, where nobody has lately. */
+  /** Reads the own rank's status unless the last reading is recent. */
   private async refreshStatus(): Promise<void> {
     const ageMs = this.groupStatus?.ageMs ?? Infinity;
     const state =
@@ -287,7 +291,7 @@
     }
   }
 
-  /** Undefined for a first reading, and after the engine started again. */
+  /** Returns the growth; undefined for a first reading and across a restart. */
   private updateCounters(counters: ExpertCounts): Growth | undefined {
     const before = this.counters;
     this.counters = counters;
@@ -307,27 +311,28 @@
     return growth;
   }
 
+  /** Adopts a higher term, and returns false for a lower one. */
   private acceptTerm(term: number): boolean {
     if (term > this.term) {
       this.log.event('plannerObeyed', {term, before: this.term});
       this.term = term;
     }
-    const isNewest = term === this.term;
-    if (isNewest) {
+    const isAccepted = term === this.term;
+    if (isAccepted) {
       this.plannerHeardAt = performance.now();
     }
-    return isNewest;
+    return isAccepted;
   }
 }
 
-/** Reads a rank's engine; undefined where it is silent or in no group. */
+/** Undefined if the engine does not answer or is in no group. */
 export async function readRank(
   engine: Engine,
-  wantsHeld: boolean,
+  includeHeld: boolean,
 ): Promise<RankReading | undefined> {
   const [state, held] = await Promise.all([
     engine.state(),
-    wantsHeld ? engine.heldExperts() : undefined,
+    includeHeld ? engine.heldExperts() : undefined,
   ]);
   if (!state.ok || state.value === undefined) {
     return undefined;
@@ -336,17 +341,18 @@
 }
 
 /**
- * Gives an order until it is answered, and waits for a copy to be whole.
- * Orders say the same each time, so a late one changes nothing.
+ * Sends an order until it is answered or the tries are used up, and waits for a
+ * copy to complete. Orders are idempotent, so one that arrives late changes
+ * nothing.
  */
 export async function executeOrder(
   engine: Engine,
   order: Order,
-  mayGoOn: () => boolean = () => true,
+  mayContinue: () => boolean = () => true,
 ): Promise<OrderResult> {
   let result: OrderResult = 'no-answer';
   for (let tries = 0; tries < MAX_ORDER_TRIES; tries += 1) {
-    if (!mayGoOn()) {
+    if (!mayContinue()) {
       return 'deposed';
     }
     result = await engine.order(order);
@@ -355,18 +361,18 @@
     }
   }
   return result === 'done' && order.kind === 'prepare'
-    ? waitForCopy(engine, order, mayGoOn)
+    ? waitForCopy(engine, order, mayContinue)
     : result;
 }
 
 async function waitForCopy(
   engine: Engine,
   order: Extract<Order, {kind: 'prepare'}>,
-  mayGoOn: () => boolean,
+  mayContinue: () => boolean,
 ): Promise<OrderResult> {
   const endsAt = performance.now() + order.patienceMs;
   await sleep(order.expectedMs);
-  while (performance.now() < endsAt && mayGoOn()) {
+  while (performance.now() < endsAt && mayContinue()) {
     const state = await engine.state();
     if (state.ok && state.value?.prepared === order.version) {
       return 'done';
--- a/src/experts/types.ts
+++ b/src/experts/types.ts
@@ -1,44 +1,47 @@
-/** Groups of ranks in lock-step, and orders that change their expert map. */
+/**
+ * State of the ranks of a lock-step group, and the orders that change the
+ * group's expert map. The schemas are part of the sidecars' RPC protocol.
+ */
 import * as v from 'valibot';
 import type {Result} from '../result';
 
-/** By set of layers, by rank: the experts that the rank holds. */
+/** Indexed by set of layers, then by rank: the experts that the rank holds. */
 export type ExpertMap = readonly (readonly (readonly number[])[])[];
 
 const integer = v.pipe(v.number(), v.integer());
 
-/** A map that every rank takes as the pass `step` begins. */
+/** A map that the rank switches to when pass `step` begins. */
 const armedMapSchema = v.object({version: integer, step: integer});
 export type ArmedMap = v.InferOutput<typeof armedMapSchema>;
 
-/** What a rank tells of itself. */
+/** State that a rank reports. */
 const rankStateSchema = v.object({
   group: v.string(),
-  /** Rises each time the group forms; everything prepared is then gone. */
+  /** Increases each time the group forms, which discards prepared maps. */
   epoch: integer,
   rank: integer,
-  /** Unix milliseconds of the rank's start; left out where it isn't told. */
+  /** Start of the rank, Unix milliseconds; absent if not reported. */
   born: v.optional(integer),
-  /** Ranks in the group. */
+  /** Number of ranks in the group. */
   size: integer,
   isOpen: v.boolean(),
-  /** The pass that began last. */
+  /** Number of the pass that began last. */
   step: integer,
   running: v.number(),
   waiting: v.number(),
-  /** Version of the map in force. */
+  /** Version of the active map. */
   mapVersion: integer,
-  /** Version that was copied and may be armed. */
+  /** Version whose experts are copied, so that it can be armed; null: none. */
   prepared: v.nullable(integer),
   armed: v.nullable(armedMapSchema),
-  /** The group does not begin this pass until it is released. */
+  /** Pass that the group does not begin before a release; null: not held. */
   held: v.nullable(integer),
-  /** How many times as long as it should the rank's work takes; 1 or more. */
+  /** Duration of the rank's work over its normal duration; at least 1. */
   slowness: v.number(),
 });
 export type RankState = v.InferOutput<typeof rankStateSchema>;
 
-/** Experts of one rank by set, under the map in force. */
+/** Experts of one rank by set, under the active map. */
 const heldExpertsSchema = v.object({
   version: integer,
   experts: v.array(v.array(integer)),
@@ -46,35 +49,38 @@
 export type HeldExperts = v.InferOutput<typeof heldExpertsSchema>;
 
 /**
- * An order to arm another rank, as the sidecar that gave it remembers it. A
- * planner's own rank is armed this way, so that others can tell.
+ * The last arm order that a sidecar sent to another rank. The planner's own
+ * rank is armed by another sidecar, so that a successor can learn the outcome
+ * while the planner's instance is unreachable.
  */
 const sentArmSchema = v.object({
   epoch: integer,
   rank: integer,
   version: integer,
   step: integer,
-  /** The rank has answered that it is armed. */
+  /** The rank has acknowledged the order. */
   isConfirmed: v.boolean(),
 });
 export type SentArm = v.InferOutput<typeof sentArmSchema>;
 
-/** What a planner reads of a rank. */
+/** A planner's reading of one rank. */
 const rankReadingSchema = v.object({
   state: rankStateSchema,
   /**
-   * The last arm that the rank's sidecar gave for another; null: none. Left
-   * out where the sidecar can't tell, since it has started again meanwhile.
+   * The last arm order that the rank's sidecar sent to another rank; null:
+   * none. Absent after a restart of the sidecar, until a planner has read the
+   * rank with `planning` set.
    */
   gave: v.optional(v.nullable(sentArmSchema)),
-  /** Left out where it was not asked for. */
+  /** Absent if not requested or not answered. */
   held: v.optional(heldExpertsSchema),
 });
 export type RankReading = v.InferOutput<typeof rankReadingSchema>;
 
 /**
- * What came of reading a rank. `silent`: its sidecar does not answer;
- * `no-rank`: its engine doesn't, or is in no group.
+ * Result of reading a rank. `deposed`: its sidecar has heard a planner with a
+ * higher term; `silent`: its sidecar does not answer; `no-rank`: its engine
+ * does not answer or is in no group.
  */
 export const readAnswerSchema = v.variant('kind', [
   v.object({kind: v.literal('read'), reading: rankReadingSchema}),
@@ -84,28 +90,28 @@
 ]);
 export type ReadAnswer = v.InferOutput<typeof readAnswerSchema>;
 
-/** A map and the version that names it in an epoch of its group. */
+/** A map and its version, which is unique within an epoch of the group. */
 export interface VersionedMap {
   readonly version: number;
   readonly map: ExpertMap;
 }
 
-/** An order to one rank. All are refused in another epoch. */
+/** An order to one rank, which refuses it in any other epoch. */
 export type Order =
-  /** Copy what the map brings to this rank. */
+  /** Copy the experts that the map adds to this rank. */
   | {
       readonly kind: 'prepare';
       readonly epoch: number;
       readonly version: number;
       readonly map: ExpertMap;
-      /** The map in force, which every sidecar should have. */
+      /** Active map; `map` is sent as its difference from this one. */
       readonly base: VersionedMap;
-      /** Time that the copying should take, in milliseconds. */
+      /** Expected duration of the copy, in milliseconds. */
       readonly expectedMs: number;
-      /** Longest time that it may take. */
+      /** Timeout of the copy, in milliseconds. */
       readonly patienceMs: number;
     }
-  /** Take a prepared map as a pass begins. */
+  /** Switch to a prepared map when pass `step` begins. */
   | {
       readonly kind: 'arm';
       readonly epoch: number;
@@ -117,96 +123,96 @@
       readonly epoch: number;
       readonly version: number;
     }
-  /** Keep the group from beginning a pass. */
+  /** Keep the group from beginning pass `step`. */
   | {readonly kind: 'hold'; readonly epoch: number; readonly step: number}
-  /** Let it begin. */
+  /** Let the group begin pass `step`. */
   | {readonly kind: 'release'; readonly epoch: number; readonly step: number};
 
 export type OrderKind = Order['kind'];
 
 /**
- * How an order ended. `no-answer`: it may have been taken, or may be carried
- * out seconds later. `deposed`: a newer planner has spoken to this rank.
+ * Result of an order. `no-answer`: the order may have been carried out, or may
+ * be seconds later. `deposed`: the sidecar has heard a planner with a higher
+ * term, or the time for retries is over.
  */
 export type OrderResult = 'done' | 'refused' | 'no-answer' | 'deposed';
 
-/** Tokens sent to each expert since a rank's start, all sets in a row. */
+/** Tokens sent to each expert since the rank started, sets concatenated. */
 export interface ExpertCounts {
-  /** The start that they count from; undefined: not told. */
+  /** Start of the rank, Unix milliseconds; undefined: not reported. */
   readonly born: number | undefined;
   readonly values: readonly number[];
 }
 
 export type EngineError = {readonly kind: 'no-answer'};
 
-/** One rank's engine, as its own orders and reports go. */
+/** Client of one rank's engine. */
 export abstract class Engine {
-  /** Undefined: it is not a rank of a group. */
+  /** Undefined: the engine is not a rank of a group. */
   abstract state(): Promise<Result<RankState | undefined, EngineError>>;
   abstract counts(): Promise<Result<ExpertCounts, EngineError>>;
   abstract heldExperts(): Promise<Result<HeldExperts, EngineError>>;
-  /** One try, without a wait for what it begins. */
+  /** Sends the order once, and does not wait for a copy that it starts. */
   abstract order(order: Order): Promise<OrderResult>;
   abstract close(): void;
 }
 
-/** What a group's planner tells of it. */
+/** A planner's summary of its group. */
 export const groupViewSchema = v.object({
-  /** By rank: requests that run or wait there. */
+  /** By rank: running and waiting requests. */
   requests: v.array(v.number()),
-  /** Most loaded rank over the mean under the map in force; 1 is even. */
+  /** Load of the most loaded rank over the mean, under the active map. */
   imbalance: v.number(),
-  /** Ranks whose work takes longer than it should. */
+  /** Ranks whose work takes markedly longer than it should. */
   slow: v.array(v.object({rank: integer, slowness: v.number()})),
 });
 export type GroupView = v.InferOutput<typeof groupViewSchema>;
 
-/** Counters' growth by expert, all sets in a row. */
+/** Increase of the counters by expert, sets concatenated. */
 export type Growth = ArrayLike<number>;
 
-/** What a reading should hold beside the state. */
+/** What a reading includes besides the state. */
 export interface ReadOptions {
   readonly growth: boolean;
-  /** The planner has finished what it found, and plans. */
+  /** The planner has settled what its predecessor left unfinished. */
   readonly planning: boolean;
   readonly held: boolean;
 }
 
 /**
- * The ranks of a group as a planner reaches them. Places are ranks: answers
- * come in the order of the places asked. Every order is carried out also where
- * single answers are lost.
+ * A planner's access to the ranks of its group. Results come in the order of
+ * the ranks passed in; an order that gets no answer is sent again.
  */
 export abstract class Ranks {
-  /** Ranks in the group. */
+  /** Number of ranks in the group. */
   abstract readonly size: number;
   abstract readStates(
-    places: readonly number[],
+    ranks: readonly number[],
   ): Promise<(RankState | undefined)[]>;
-  /** Each rank is ordered by its own sidecar, which obeys the newest planner. */
+  /** Orders each rank through its own sidecar. */
   abstract order(
-    places: readonly number[],
+    ranks: readonly number[],
     order: Order,
   ): Promise<OrderResult[]>;
   /**
-   * Each rank is ordered from an instance that is not its own, and whoever
-   * orders others has its own rank ordered before. So an instance that stands
-   * still keeps nothing to itself: the others can be ordered once more from
-   * elsewhere, and what its own rank was told is known.
+   * Orders each rank from an instance other than its own; an instance that
+   * orders others has had its own rank ordered before. If it freezes, its own
+   * rank's order is known elsewhere, and the others can be ordered again from
+   * there.
    */
   abstract orderRemotely(
-    places: readonly number[],
+    ranks: readonly number[],
     order: Order,
   ): Promise<OrderResult[]>;
-  /** One rank is ordered by the sidecar of another. */
+  /** Orders a rank through the sidecar of another. */
   abstract orderThrough(
     helper: number,
-    place: number,
+    rank: number,
     order: Order,
   ): Promise<OrderResult>;
 
-  /** Every place. */
+  /** Every rank. */
   get all(): number[] {
-    return Array.from({length: this.size}, (_, place) => place);
+    return Array.from({length: this.size}, (_, rank) => rank);
   }
 }
