--- a/src/experts/app.ts
+++ b/src/experts/app.ts
@@ -121,7 +121,7 @@
   }),
 );
 
-/** Asks a sidecar whether it has heard a planner lately. */
+/** Asks a sidecar whether it currently hears a planner. */
 export const hearing = rpc.method(
   'experts.hearing',
   v.object({}),
--- a/src/experts/branch.ts
+++ b/src/experts/branch.ts
@@ -153,9 +153,7 @@
   return results.flat();
 }
 
-/**
- * Answers a call for the own rank and forwards it to the rest of the branch.
- */
+/** Answers a call for its own rank and forwards it to the other members. */
 export class BranchHead {
   constructor(
     private readonly agent: RankAgent,
--- a/src/experts/demand.test.ts
+++ b/src/experts/demand.test.ts
@@ -13,9 +13,7 @@
   readonly skew: number;
 }
 const SMALL: Shape = {prompts: 6, skew: 1.1};
-/**
- * As with 129 ranks: many prompts, and tokens spread more evenly over experts.
- */
+/** As with 129 ranks: many prompts, and a more even spread over experts. */
 const LARGE: Shape = {prompts: 60, skew: 0.45};
 
 /** Simulates readings of prompts on topics that partly share their experts. */
--- a/src/experts/group-client.ts
+++ b/src/experts/group-client.ts
@@ -19,9 +19,7 @@
   ReadOptions,
 } from './types';
 
-/**
- * Leaves a helper time to retry the order; short because the group may be held.
- */
+/** Leaves time to retry the order; short because the group may be held. */
 const HELPER_TIMEOUT_MS = 250;
 /**
  * Ranks whose counters are read. Requests are spread evenly, so a sample shows
@@ -35,9 +33,7 @@
   planning: false,
   held: false,
 };
-/**
- * Used by a planner once it has settled what its predecessor left unfinished.
- */
+/** Used once the planner has settled what its predecessor left unfinished. */
 export const PLANNING_READ: ReadOptions = {
   growth: true,
   planning: true,
@@ -77,9 +73,7 @@
   /** Members whose counters are read. */
   private sample: ReadonlySet<Member> = new Set();
   private readonly engines = new Map<string, Engine>();
-  /**
-   * By address of a sidecar that did not answer: time of the last call to it.
-   */
+  /** By address of a silent sidecar: time of the last call to it. */
   private readonly lastCallToSilent = new Map<string, number>();
 
   constructor(private readonly context: GroupClientContext) {}
@@ -168,9 +162,7 @@
     return {...reading, ranks};
   }
 
-  /**
-   * The ranks of a reading; undefined unless it covers one whole, open group.
-   */
+  /** Undefined unless the reading covers one whole, open group. */
   ranksOf(reading: GroupReading): GroupRanks | undefined {
     const states = [...reading.ranks.values()].map(one => one.state);
     return isCompleteGroup(states) ? this.partialRanksOf(reading) : undefined;
@@ -188,9 +180,7 @@
     return new GroupRanks(this, byRank);
   }
 
-  /**
-   * Orders members through their sidecars, or directly; results in their order.
-   */
+  /** Orders members through their sidecars, or directly if that fails. */
   async orderMembers(
     members: readonly Member[],
     order: Order,
--- a/src/experts/map-cache.ts
+++ b/src/experts/map-cache.ts
@@ -7,9 +7,7 @@
 
 /** Version of the map that every group starts with. */
 export const INITIAL_MAP_VERSION = 0;
-/**
- * The active map, the prepared one, and up to two abandoned ones in between.
- */
+/** The active map, the prepared one, and up to two abandoned ones. */
 const MAX_MAPS = 4;
 
 interface CachedMap {
--- a/src/experts/pass-clock.ts
+++ b/src/experts/pass-clock.ts
@@ -12,9 +12,7 @@
   private last: {readonly step: number; readonly at: number} | undefined;
   private meanMs = INITIAL_PASS_MS;
 
-  /**
-   * `step` is the pass that began last; `now` is monotonic, in milliseconds.
-   */
+  /** `step` is the last pass to begin; `now` is monotonic, in milliseconds. */
   record(step: number, now: number): void {
     const {last} = this;
     if (last !== undefined && step > last.step) {
--- a/src/experts/planner-election.ts
+++ b/src/experts/planner-election.ts
@@ -34,9 +34,7 @@
   /** Highest term of a planner heard so far. */
   abstract heardTerm(): number;
   abstract isPlannerHeard(): boolean;
-  /**
-   * True if a majority of the members asked answers and none hears a planner.
-   */
+  /** True if most of the members asked answer and none hears a planner. */
   abstract canBecomePlanner(): Promise<boolean>;
   /** Head start of the members with lower ranks, in milliseconds. */
   abstract electionDelayMs(): number;
@@ -54,9 +52,7 @@
   private lastSeenVersion = 0;
   private cooldownUntil = 0;
   private isClosed = false;
-  /**
-   * Since when no planner is heard; undefined: one is, or the cooldown runs.
-   */
+  /** Start of the time without a planner; undefined: one is heard. */
   private plannerMissedAt: number | undefined;
   private backoffMs = MIN_BACKOFF_MS;
 
@@ -76,9 +72,7 @@
     }
   }
 
-  /**
-   * Called when a newer planner was heard somewhere or this one cannot go on.
-   */
+  /** Gives up the planner's role, and pauses before the next election. */
   stepDown(): void {
     if (this.term !== 0) {
       this.log.event('seatLost', {seat: this.key, term: this.term});
--- a/src/experts/rank-agent.ts
+++ b/src/experts/rank-agent.ts
@@ -85,9 +85,7 @@
     return silentMs < this.periodMs * MAX_MISSED_PERIODS;
   }
 
-  /**
-   * Reads the rank for the planner of a term, which reads it every `periodMs`.
-   */
+  /** Reads the rank for the planner of a term, which repeats it each period. */
   async read(
     term: number,
     periodMs: number,
@@ -188,9 +186,7 @@
     return result;
   }
 
-  /**
-   * Orders another rank for the planner of a term, and records an arm order.
-   */
+  /** Orders another rank for the planner of a term; records an arm order. */
   async orderOther(
     term: number,
     to: {readonly target: string; readonly rank: number},
