--- a/src/experts/group-client.ts
+++ b/src/experts/group-client.ts
@@ -364,9 +364,9 @@
   private branchesOf(members: readonly Member[]): string[][] {
     const byHall = new Map<string, string[]>();
     for (const {hall, sidecar} of members) {
-      const held = byHall.get(hall) ?? [];
-      held.push(sidecar);
-      byHall.set(hall, held);
+      const inHall = byHall.get(hall) ?? [];
+      inHall.push(sidecar);
+      byHall.set(hall, inHall);
     }
     const halls = [...byHall.values()].map(sidecars => [
       ...sidecars.filter(one => this.isResponsive(one)),
@@ -390,8 +390,8 @@
     return engine;
   }
 
-  private recordAnswer(sidecar: string, isHeard: boolean): void {
-    if (isHeard) {
+  private recordAnswer(sidecar: string, hasAnswered: boolean): void {
+    if (hasAnswered) {
       this.lastCallToSilent.delete(sidecar);
     } else {
       this.lastCallToSilent.set(sidecar, performance.now());
