--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -69,13 +69,13 @@
           ? one
           : best,
       );
-    const entered = await target.admission.enter({
+    const entered = await target.admission.admit({
       account: this.isOurs ? account : 'all',
       weight: 1,
       priority: 0,
       cost: 1,
       // Without bounds, a request waits however late it is.
-      isReturning: isReturn,
+      isReservedRetry: isReturn,
       deadlineAt: this.isOurs ? deadlineAt : Date.now() + 3_600_000,
     });
     if (!entered.ok) {
--- a/features/at-most-once.steps.ts
+++ b/features/at-most-once.steps.ts
@@ -1,7 +1,7 @@
 import * as path from 'node:path';
 import * as uuid from 'uuid';
 import {StepDefinitions, autoBindSteps, loadFeature} from 'jest-cucumber';
-import * as app from '../src/claims/app';
+import * as app from '../src/claims/rpc-methods';
 import * as keys from '../src/claims/keys';
 import {RpcClient} from '../src/rpc/client';
 import * as fleets from './support/fleet';
@@ -23,7 +23,7 @@
 /** The sidecar that owns a key. */
 async function findOwner(text: string): Promise<string> {
   const rpc = new RpcClient();
-  const slot = keys.slotOf(keys.readKey(text)!, SLOTS);
+  const slot = keys.slotOf(keys.parseKey(text)!, SLOTS);
   for (const id of fleet.idsOf('ledger')) {
     const table = await rpc.call(fleet.address(id), app.table, {
       service: 'ledger',
--- a/features/support/site.ts
+++ b/features/support/site.ts
@@ -1,6 +1,6 @@
 /** Configuration that scenarios run with. */
 import type {Account, Service, Template} from '../../src/configuration/types';
-import {digest} from '../../src/requests/headers';
+import {sha256Hex} from '../../src/requests/headers';
 
 /** API keys of the accounts. */
 export const KEYS = {alpha: 'key-of-alpha', beta: 'key-of-beta'} as const;
@@ -67,7 +67,7 @@
     kind: 'account',
     id,
     template: 'site',
-    keyDigests: [digest(KEYS[id])],
+    keyDigests: [sha256Hex(KEYS[id])],
     parameters,
   };
 }
--- a/features/whole-path.steps.ts
+++ b/features/whole-path.steps.ts
@@ -1,6 +1,6 @@
 import * as path from 'node:path';
 import {defineFeature, loadFeature} from 'jest-cucumber';
-import {digest} from '../src/requests/headers';
+import {sha256Hex} from '../src/requests/headers';
 import {expectedText} from '../standins/engine';
 import * as fleets from './support/fleet';
 import * as testHttp from './support/http';
@@ -70,7 +70,7 @@
       const account = site.makeAccount('alpha');
       const applied = await fleet.apply({
         ...account,
-        keyDigests: [...account.keyDigests, digest('another-key')],
+        keyDigests: [...account.keyDigests, sha256Hex('another-key')],
       });
       expect(applied.ok).toBe(true);
     });
--- a/src/claims/cells.ts
+++ b/src/claims/cells.ts
@@ -119,15 +119,12 @@
  * What a process of the same boot, whose clock had this anchor, would read
  * now. Exact: both clocks run on the boot's one monotonic clock.
  */
-export function readForeignClock(
-  anchor: ClockAnchor,
-  monotonicMs: number,
-): number {
+export function readClockOf(anchor: ClockAnchor, monotonicMs: number): number {
   return Math.ceil(anchor.wallMs + (monotonicMs - anchor.monotonicMs));
 }
 
 /** True where cells are in order and no two share a minting time. */
-export function isSound(slot: Slot): boolean {
+export function areCellsDisjoint(slot: Slot): boolean {
   return slot.cells.every((cell, index) => {
     const next = slot.cells[index + 1];
     return (
--- a/src/claims/handover.ts
+++ b/src/claims/handover.ts
@@ -7,20 +7,20 @@
 import {Log} from '../observability/log';
 import type {RpcClient} from '../rpc/client';
 import type {RpcServer} from '../rpc/server';
-import * as app from './app';
-import type {Keeper} from './keeper';
+import * as app from './rpc-methods';
+import type {SlotManager} from './slot-manager';
 import * as keys from './keys';
-import type {Runs} from './runs';
+import type {KeyedRuns} from './keyed-runs';
 import type {Owner} from './types';
 
 const RECORDS_PER_MESSAGE = 2_000;
 const TRANSFER_TIMEOUT_MS = 5_000;
-const WRITE_TRIES = 3;
+const MAX_WRITE_ATTEMPTS = 3;
 
 /** Gives all slots of a keeper away. Answers how many were taken over. */
 export async function handOverAll(
-  keeper: Keeper,
-  runs: Runs,
+  keeper: SlotManager,
+  runs: KeyedRuns,
   service: string,
   slots: number,
   candidates: readonly string[],
@@ -31,7 +31,7 @@
   let handed = 0;
   for (const [index, slot] of keeper.ownSlots().entries()) {
     keeper.surrender(slot);
-    await runs.settle(slot);
+    await runs.waitForRuns(slot);
     const owner = successors[index % Math.max(successors.length, 1)];
     if (owner === undefined) {
       continue;
@@ -67,8 +67,8 @@
 }
 
 async function handOverSlot(
-  keeper: Keeper,
-  runs: Runs,
+  keeper: SlotManager,
+  runs: KeyedRuns,
   service: string,
   slot: number,
   slots: number,
@@ -76,7 +76,7 @@
   rpc: RpcClient,
 ): Promise<boolean> {
   const own = keeper
-    .table()
+    .listCells()
     .filter(
       entry =>
         entry.slot === slot &&
@@ -84,7 +84,7 @@
     )
     .map(entry => entry.cell);
   const records = own
-    .flatMap(cell => runs.records.within(cell.from, cell.until))
+    .flatMap(cell => runs.records.mintedWithin(cell.from, cell.until))
     .filter(record => slotOfRecord(record.key, slots) === slot);
   const froms = own.map(cell => cell.from);
   for (let at = 0; at <= records.length; at += RECORDS_PER_MESSAGE) {
@@ -105,7 +105,7 @@
       return false;
     }
   }
-  for (let tries = 0; tries < WRITE_TRIES; tries += 1) {
+  for (let tries = 0; tries < MAX_WRITE_ATTEMPTS; tries += 1) {
     const written = await keeper.handOver(slot, successor);
     if (written.ok || written.error.kind === 'not-owner') {
       break;
@@ -119,16 +119,16 @@
 }
 
 function slotOfRecord(key: string, slots: number): number {
-  const parsed = keys.readKey(key);
+  const parsed = keys.parseKey(key);
   return parsed === undefined ? -1 : keys.slotOf(parsed, slots);
 }
 
 /** Binds the successor's side. `accepting` is false once it leaves itself. */
-export function serve(
+export function serveHandover(
   server: RpcServer,
   service: string,
-  keeper: Keeper,
-  runs: Runs,
+  keeper: SlotManager,
+  runs: KeyedRuns,
   accepting: () => boolean,
 ): void {
   server.handle(app.successor, params => ({
@@ -143,7 +143,7 @@
         runs.records.set(record);
       }
     }
-    params.froms.forEach(from => keeper.trust(params.slot, from));
+    params.froms.forEach(from => keeper.markRecordsHeld(params.slot, from));
     return {accepted: true};
   });
   server.handle(app.activate, async params => {
--- a/src/claims/runs.ts
+++ b/src/claims/keyed-runs.ts
@@ -3,14 +3,14 @@
  * for the run under way, replay its answer, or refuse it.
  */
 import type {SteadyClock} from '../clock';
-import type {Keeper} from './keeper';
+import type {SlotManager} from './slot-manager';
 import * as keys from './keys';
 import * as records from './records';
 import type {Owner} from './types';
 
 /** How a run under way ended. */
-export type RunEnd =
-  | {readonly kind: 'ran'; readonly answer: records.KeptAnswer | null}
+export type RunResult =
+  | {readonly kind: 'ran'; readonly answer: records.StoredResponse | null}
   | {readonly kind: 'not-run'}
   | {readonly kind: 'unknown'};
 
@@ -26,10 +26,10 @@
   | {readonly kind: 'not-owner'; readonly owner: Owner | null};
 
 /** What to do with a call. */
-export type Admission =
-  | {readonly kind: 'run'; readonly finish: (end: RunEnd) => void}
-  | {readonly kind: 'wait'; readonly end: Promise<RunEnd>}
-  | {readonly kind: 'replay'; readonly answer: records.KeptAnswer | null}
+export type CallDecision =
+  | {readonly kind: 'run'; readonly finish: (end: RunResult) => void}
+  | {readonly kind: 'wait'; readonly end: Promise<RunResult>}
+  | {readonly kind: 'replay'; readonly answer: records.StoredResponse | null}
   | {readonly kind: 'refuse'; readonly refusal: KeyRefusal};
 
 /** What became of a key, as the owner knows it. */
@@ -42,14 +42,14 @@
   readonly fingerprint: string;
 }
 
-interface Running {
+interface ActiveRun {
   readonly slot: number;
-  readonly end: Promise<RunEnd>;
+  readonly end: Promise<RunResult>;
 }
 
-export class Runs {
-  readonly records: records.Records;
-  private readonly running = new Map<string, Running>();
+export class KeyedRuns {
+  readonly records: records.KeyRecords;
+  private readonly activeRuns = new Map<string, ActiveRun>();
   /**
    * Keys minted before this are refused for good: their records may be gone,
    * even if the retention is later set longer.
@@ -57,17 +57,17 @@
   private oldestAccepted = 0;
 
   constructor(
-    private readonly keeper: Keeper,
+    private readonly keeper: SlotManager,
     private readonly clock: SteadyClock,
     private readonly slots: () => number,
     private readonly retentionMs: () => number,
     maxAnswerBytes: number,
   ) {
-    this.records = new records.Records(maxAnswerBytes);
+    this.records = new records.KeyRecords(maxAnswerBytes);
   }
 
   /** Decides on a call; `run` has marked the key as running already. */
-  admit(call: KeyedCall): Admission {
+  admit(call: KeyedCall): CallDecision {
     const refusal = this.refusalOf(call);
     if (refusal !== undefined) {
       return {kind: 'refuse', refusal};
@@ -75,7 +75,7 @@
     const record = this.records.find(call.account, call.key.text);
     return record === undefined
       ? this.begin(call)
-      : this.answerAgain(call, record);
+      : this.decideRepeat(call, record);
   }
 
   /**
@@ -98,20 +98,20 @@
   }
 
   /** Waits until none of a slot's keys is running. */
-  async settle(slot: number): Promise<void> {
-    const ends = [...this.running.values()]
+  async waitForRuns(slot: number): Promise<void> {
+    const ends = [...this.activeRuns.values()]
       .filter(running => running.slot === slot)
       .map(running => running.end);
     await Promise.all(ends);
   }
 
   get runningCount(): number {
-    return this.running.size;
+    return this.activeRuns.size;
   }
 
   /** Drops what is too old to be asked for again. */
-  forgetOld(): void {
-    this.records.forgetBefore(this.advanceOldest());
+  evictExpired(): void {
+    this.records.evictBefore(this.advanceOldestAccepted());
   }
 
   /** Undefined: this owner has no record of the key and may burn it. */
@@ -124,7 +124,10 @@
     if (ownership.kind === 'never-owned') {
       return 'not-run';
     }
-    if (ownership.kind === 'other' && this.isFormerLife(ownership.owner)) {
+    if (
+      ownership.kind === 'other' &&
+      this.isPreviousIncarnation(ownership.owner)
+    ) {
       return 'unknown';
     }
     if (ownership.kind !== 'mine') {
@@ -132,7 +135,7 @@
     }
     const record = this.records.find(account, key.text);
     if (record === undefined) {
-      return this.isAhead(key) ? 'unknown' : undefined;
+      return this.isTooFarAhead(key) ? 'unknown' : undefined;
     }
     return record.state === 'burnt' ? 'not-run' : record.state;
   }
@@ -141,22 +144,22 @@
    * The owner answered at the address that this process holds now: nobody
    * is left to ask what became of its keys.
    */
-  private isFormerLife(owner: Owner): boolean {
+  private isPreviousIncarnation(owner: Owner): boolean {
     const {address, incarnation} = this.keeper.self;
     return owner.address === address && owner.incarnation !== incarnation;
   }
 
   private isTooOld(key: keys.RequestKey): boolean {
-    return key.mintedAt < this.advanceOldest();
+    return key.mintedAt < this.advanceOldestAccepted();
   }
 
-  private advanceOldest(): number {
+  private advanceOldestAccepted(): number {
     const oldest = this.clock.now() - this.retentionMs();
     this.oldestAccepted = Math.max(this.oldestAccepted, oldest);
     return this.oldestAccepted;
   }
 
-  private isAhead(key: keys.RequestKey): boolean {
+  private isTooFarAhead(key: keys.RequestKey): boolean {
     return key.mintedAt > this.clock.now() + this.keeper.self.leadMs;
   }
 
@@ -164,7 +167,7 @@
     if (this.isTooOld(call.key)) {
       return {kind: 'key-too-old'};
     }
-    if (this.isAhead(call.key)) {
+    if (this.isTooFarAhead(call.key)) {
       const leadMs = call.key.mintedAt - this.clock.now();
       return {kind: 'key-ahead', leadMs};
     }
@@ -176,7 +179,7 @@
       case 'never-owned':
         return {kind: 'key-burnt'};
       case 'other':
-        return this.isFormerLife(ownership.owner)
+        return this.isPreviousIncarnation(ownership.owner)
           ? {kind: 'outcome-unknown'}
           : {kind: 'not-owner', owner: ownership.owner};
       case 'not-yet':
@@ -185,7 +188,7 @@
     }
   }
 
-  private begin(call: KeyedCall): Admission {
+  private begin(call: KeyedCall): CallDecision {
     const {account, key, fingerprint} = call;
     const record = {
       account,
@@ -194,24 +197,27 @@
       fingerprint,
     };
     const name = `${account} ${key.text}`;
-    let settle!: (end: RunEnd) => void;
-    const end = new Promise<RunEnd>(resolve => {
+    let settle!: (end: RunResult) => void;
+    const end = new Promise<RunResult>(resolve => {
       settle = resolve;
     });
     const slot = keys.slotOf(key, this.slots());
-    this.running.set(name, {slot, end});
+    this.activeRuns.set(name, {slot, end});
     this.records.set({...record, state: 'running'});
-    const finish = (result: RunEnd) => {
-      if (!this.running.delete(name)) {
+    const finish = (result: RunResult) => {
+      if (!this.activeRuns.delete(name)) {
         return;
       }
-      this.records.set({...record, ...recordOf(result)});
+      this.records.set({...record, ...recordFields(result)});
       settle(result);
     };
     return {kind: 'run', finish};
   }
 
-  private answerAgain(call: KeyedCall, record: records.KeyRecord): Admission {
+  private decideRepeat(
+    call: KeyedCall,
+    record: records.KeyRecord,
+  ): CallDecision {
     if (record.state === 'burnt') {
       return {kind: 'refuse', refusal: {kind: 'key-burnt'}};
     }
@@ -222,17 +228,17 @@
     if (record.state === 'ran') {
       return {kind: 'replay', answer: record.answer};
     }
-    const running = this.running.get(`${call.account} ${call.key.text}`);
+    const running = this.activeRuns.get(`${call.account} ${call.key.text}`);
     return running === undefined
       ? {kind: 'refuse', refusal: {kind: 'outcome-unknown'}}
       : {kind: 'wait', end: running.end};
   }
 }
 
-function recordOf(
-  end: RunEnd,
+function recordFields(
+  end: RunResult,
 ):
-  | {state: 'ran'; answer: records.KeptAnswer | null}
+  | {state: 'ran'; answer: records.StoredResponse | null}
   | {state: 'burnt'}
   | {state: 'unknown'} {
   switch (end.kind) {
--- a/src/claims/keys.ts
+++ b/src/claims/keys.ts
@@ -4,8 +4,8 @@
 import * as uuid from 'uuid';
 
 const UUID_VERSION = 7;
-const TIME_DIGITS = 12;
-const HEX = 16;
+const TIMESTAMP_HEX_DIGITS = 12;
+const HEX_RADIX = 16;
 
 /** A key's parts. */
 export interface RequestKey {
@@ -16,13 +16,13 @@
 }
 
 /** Undefined where the text is no UUIDv7. */
-export function readKey(text: string): RequestKey | undefined {
+export function parseKey(text: string): RequestKey | undefined {
   if (!uuid.validate(text) || uuid.version(text) !== UUID_VERSION) {
     return undefined;
   }
   const canonical = text.toLowerCase();
-  const digits = canonical.replaceAll('-', '').slice(0, TIME_DIGITS);
-  return {text: canonical, mintedAt: parseInt(digits, HEX)};
+  const digits = canonical.replaceAll('-', '').slice(0, TIMESTAMP_HEX_DIGITS);
+  return {text: canonical, mintedAt: parseInt(digits, HEX_RADIX)};
 }
 
 /** The slot of a key: by its random bits only, not by its time. */
--- a/src/claims/directory.ts
+++ b/src/claims/owner-directory.ts
@@ -4,20 +4,20 @@
  */
 import * as random from '../random';
 import type {RpcClient} from '../rpc/client';
-import * as app from './app';
+import * as app from './rpc-methods';
 import * as keys from './keys';
 import type {Cell, Owner} from './types';
 
-const TRIES = 2;
-const MIN_REFRESH_MS = 200;
+const SIDECARS_PER_FETCH = 2;
+const MIN_REFRESH_INTERVAL_MS = 200;
 
 /** The slots of one service. */
 interface Table {
   readonly cells: readonly {readonly slot: number; readonly cell: Cell}[];
-  readonly at: number;
+  readonly fetchedAt: number;
 }
 
-export class Directory {
+export class OwnerDirectory {
   private readonly tables = new Map<string, Table>();
   private readonly refreshing = new Map<string, Promise<void>>();
 
@@ -44,7 +44,10 @@
   /** Fetches the table again; calls within a short time share one. */
   async refresh(service: string): Promise<void> {
     const table = this.tables.get(service);
-    if (table !== undefined && Date.now() - table.at < MIN_REFRESH_MS) {
+    if (
+      table !== undefined &&
+      Date.now() - table.fetchedAt < MIN_REFRESH_INTERVAL_MS
+    ) {
       return;
     }
     const running = this.refreshing.get(service) ?? this.fetch(service);
@@ -57,17 +60,17 @@
    * Mints keys for now, in slots whose owner is live. Empty where no slot
    * has a live owner.
    */
-  async mint(
+  async mintKeys(
     service: string,
     count: number,
     slots: number,
     isLive: (targetId: string) => boolean,
     now: number,
   ): Promise<string[]> {
-    let wanted = this.liveSlots(service, isLive, now);
+    let wanted = this.slotsOfLiveOwners(service, isLive, now);
     if (wanted.size === 0) {
       await this.refresh(service);
-      wanted = this.liveSlots(service, isLive, now);
+      wanted = this.slotsOfLiveOwners(service, isLive, now);
     }
     const minted: string[] = [];
     while (wanted.size > 0 && minted.length < count) {
@@ -76,7 +79,7 @@
     return minted;
   }
 
-  private liveSlots(
+  private slotsOfLiveOwners(
     service: string,
     isLive: (targetId: string) => boolean,
     now: number,
@@ -131,7 +134,11 @@
   private async fetch(service: string): Promise<void> {
     const addresses = [...this.sidecars(service)];
     const merged = new Map<string, {slot: number; cell: Cell}>();
-    for (let tries = 0; tries < TRIES && addresses.length > 0; tries += 1) {
+    for (
+      let tries = 0;
+      tries < SIDECARS_PER_FETCH && addresses.length > 0;
+      tries += 1
+    ) {
       const [address] = addresses.splice(random.below(addresses.length), 1);
       const answer = await this.rpc.call(address!, app.table, {service});
       for (const line of answer.ok ? answer.value.cells : []) {
@@ -143,7 +150,10 @@
       }
     }
     if (merged.size > 0) {
-      this.tables.set(service, {cells: [...merged.values()], at: Date.now()});
+      this.tables.set(service, {
+        cells: [...merged.values()],
+        fetchedAt: Date.now(),
+      });
     }
   }
 }
--- a/src/claims/records.ts
+++ b/src/claims/records.ts
@@ -5,13 +5,13 @@
 import * as v from 'valibot';
 
 /** An answer kept so that a repeated call gets the same one. */
-export const keptAnswerSchema = v.object({
+export const storedResponseSchema = v.object({
   status: v.number(),
   contentType: v.string(),
   /** Base64. */
   body: v.string(),
 });
-export type KeptAnswer = v.InferOutput<typeof keptAnswerSchema>;
+export type StoredResponse = v.InferOutput<typeof storedResponseSchema>;
 
 const commonSchema = {
   key: v.string(),
@@ -26,7 +26,7 @@
   v.object({
     ...commonSchema,
     state: v.literal('ran'),
-    answer: v.nullable(keptAnswerSchema),
+    answer: v.nullable(storedResponseSchema),
   }),
   v.object({...commonSchema, state: v.literal('burnt')}),
   /** Sent to the target, and no answer came. */
@@ -38,7 +38,7 @@
 const RECORD_OVERHEAD_BYTES = 300;
 
 /** The records of one owner, by account and key, under a byte cap. */
-export class Records {
+export class KeyRecords {
   private readonly byKey = new Map<string, KeyRecord>();
   private answerBytes = 0;
 
@@ -49,33 +49,33 @@
   }
 
   /** Bytes held, estimated. */
-  get bytes(): number {
+  get estimatedBytes(): number {
     return this.answerBytes + this.byKey.size * RECORD_OVERHEAD_BYTES;
   }
 
   find(account: string, key: string): KeyRecord | undefined {
-    return this.byKey.get(nameOf(account, key));
+    return this.byKey.get(mapKey(account, key));
   }
 
   /** Sets a record; the oldest kept answers give way to the byte cap. */
   set(record: KeyRecord): void {
-    const name = nameOf(record.account, record.key);
+    const name = mapKey(record.account, record.key);
     this.answerBytes -= answerBytesOf(this.byKey.get(name));
     this.byKey.delete(name);
     this.byKey.set(name, record);
     this.answerBytes += answerBytesOf(record);
-    this.enforceCap();
+    this.evictAnswers();
   }
 
   /** Records minted within [from, until). */
-  within(from: number, until: number): KeyRecord[] {
+  mintedWithin(from: number, until: number): KeyRecord[] {
     return [...this.byKey.values()].filter(
       record => record.mintedAt >= from && record.mintedAt < until,
     );
   }
 
   /** Forgets keys that are too old to be accepted again. */
-  forgetBefore(oldestKept: number): void {
+  evictBefore(oldestKept: number): void {
     for (const [name, record] of this.byKey) {
       if (record.mintedAt < oldestKept && record.state !== 'running') {
         this.answerBytes -= answerBytesOf(record);
@@ -84,7 +84,7 @@
     }
   }
 
-  private enforceCap(): void {
+  private evictAnswers(): void {
     if (this.answerBytes <= this.maxAnswerBytes) {
       return;
     }
@@ -100,7 +100,7 @@
   }
 }
 
-function nameOf(account: string, key: string): string {
+function mapKey(account: string, key: string): string {
   return `${account} ${key}`;
 }
 
--- a/src/claims/keeper.test.ts
+++ b/src/claims/slot-manager.test.ts
@@ -8,35 +8,35 @@
 import {SILENT_LOG} from '../observability/log';
 import {MemoryStore} from '../platform/memory-store';
 import * as cells from './cells';
-import {Keeper, KeeperSettings} from './keeper';
+import {SlotManager, SlotManagerSettings} from './slot-manager';
 import * as types from './types';
 
 const SLOTS = 4;
 const TERM_MS = 10_000;
 const LEAD_MS = 1_000;
-const SETTINGS: KeeperSettings = {
+const SETTINGS: SlotManagerSettings = {
   service: 'ledger',
   slots: SLOTS,
   termMs: TERM_MS,
   retentionMs: 120_000,
 };
 
-let lives = 0;
+let incarnationCount = 0;
 
 /** One life of a sidecar. */
-interface Life {
-  readonly keeper: Keeper;
+interface Incarnation {
+  readonly keeper: SlotManager;
   readonly clock: SteadyClock;
 }
 
 /** One sidecar place: an address on an instance. */
-class Place {
+class SimulatedSidecar {
   /** Lives that are frozen or cut off, and may wake. */
-  readonly frozen: Life[] = [];
-  current: Life | undefined;
+  readonly frozen: Incarnation[] = [];
+  current: Incarnation | undefined;
 
   constructor(
-    private readonly world: World,
+    private readonly world: Cluster,
     readonly id: string,
     private readonly skewMs: number,
   ) {}
@@ -45,17 +45,17 @@
   async restart(): Promise<void> {
     await this.freeze();
     this.frozen.length = 0;
-    lives += 1;
+    incarnationCount += 1;
     const clock = new SteadyClock(Date.now() + this.skewMs);
     const owner: types.Owner = {
-      incarnation: `life-${lives}`,
+      incarnation: `life-${incarnationCount}`,
       targetId: this.id,
       address: '127.0.0.1:1000',
       bootId: `boot-of-${this.id}`,
       anchor: clock.anchor,
       leadMs: LEAD_MS,
     };
-    const keeper = new Keeper(
+    const keeper = new SlotManager(
       () => SETTINGS,
       owner,
       clock,
@@ -63,7 +63,7 @@
       SILENT_LOG,
       () => this.world.liveIds(),
     );
-    keeper.wake();
+    keeper.triggerUpkeep();
     this.current = {keeper, clock};
   }
 
@@ -78,27 +78,29 @@
   }
 }
 
-class World {
+class Cluster {
   readonly store = new MemoryStore();
-  readonly places: Place[];
+  readonly sidecars: SimulatedSidecar[];
 
   constructor(skews: readonly number[]) {
-    this.places = skews.map((skew, at) => new Place(this, `place-${at}`, skew));
+    this.sidecars = skews.map(
+      (skew, at) => new SimulatedSidecar(this, `place-${at}`, skew),
+    );
   }
 
   liveIds(): string[] {
-    return this.places
+    return this.sidecars
       .filter(place => place.current !== undefined)
       .map(place => place.id);
   }
 
-  wakeAll(): void {
-    this.places.forEach(place => place.current?.keeper.wake());
+  triggerUpkeep(): void {
+    this.sidecars.forEach(place => place.current?.keeper.triggerUpkeep());
   }
 
   /** Lives that would run a key of this slot and minting time now. */
   ownersOf(slot: number, mintedAt: number): string[] {
-    const all = this.places.flatMap(place => [
+    const all = this.sidecars.flatMap(place => [
       ...place.frozen,
       ...(place.current ? [place.current] : []),
     ]);
@@ -112,7 +114,7 @@
   }
 
   async close(): Promise<void> {
-    await Promise.all(this.places.map(place => place.freeze()));
+    await Promise.all(this.sidecars.map(place => place.freeze()));
   }
 }
 
@@ -141,15 +143,15 @@
   }),
 );
 
-async function play(world: World, one: Event): Promise<void> {
+async function applyEvent(world: Cluster, one: Event): Promise<void> {
   switch (one.kind) {
     case 'restart':
-      await world.places[one.place]!.restart();
-      world.wakeAll();
+      await world.sidecars[one.place]!.restart();
+      world.triggerUpkeep();
       return;
     case 'freeze':
-      await world.places[one.place]!.freeze();
-      world.wakeAll();
+      await world.sidecars[one.place]!.freeze();
+      world.triggerUpkeep();
       return;
     case 'outage':
       world.store.isDown = true;
@@ -182,13 +184,13 @@
           maxLength: 3,
         }),
         async (events, skews) => {
-          const world = new World(skews);
-          for (const place of world.places) {
+          const world = new Cluster(skews);
+          for (const place of world.sidecars) {
             await place.restart();
           }
           const seen = new Map<string, string>();
           for (const one of events) {
-            await play(world, one);
+            await applyEvent(world, one);
             checkOwners(world, seen, skews);
           }
           await world.close();
@@ -199,23 +201,23 @@
   });
 
   it('serves again at once after a restart in place', async () => {
-    const world = new World([0]);
-    await world.places[0]!.restart();
+    const world = new Cluster([0]);
+    await world.sidecars[0]!.restart();
     await jest.advanceTimersByTimeAsync(100);
-    await world.places[0]!.restart();
+    await world.sidecars[0]!.restart();
     await jest.advanceTimersByTimeAsync(LEAD_MS + 200);
-    const keeper = world.places[0]!.current!.keeper;
+    const keeper = world.sidecars[0]!.current!.keeper;
     expect(keeper.ownership(0, Date.now()).kind).toBe('mine');
     await world.close();
   });
 
   it('gives a dead place its slots back within a term', async () => {
-    const world = new World([0, 0]);
-    await world.places[0]!.restart();
-    await world.places[1]!.restart();
+    const world = new Cluster([0, 0]);
+    await world.sidecars[0]!.restart();
+    await world.sidecars[1]!.restart();
     await jest.advanceTimersByTimeAsync(100);
-    await world.places[0]!.freeze();
-    world.wakeAll();
+    await world.sidecars[0]!.freeze();
+    world.triggerUpkeep();
     await jest.advanceTimersByTimeAsync(TERM_MS + LEAD_MS);
     for (let slot = 0; slot < SLOTS; slot += 1) {
       expect(world.ownersOf(slot, Date.now())).toHaveLength(1);
@@ -224,12 +226,12 @@
   });
 
   it('rides through an outage shorter than two thirds of a term', async () => {
-    const world = new World([0]);
-    await world.places[0]!.restart();
+    const world = new Cluster([0]);
+    await world.sidecars[0]!.restart();
     await jest.advanceTimersByTimeAsync(TERM_MS * 3);
     world.store.isDown = true;
     await jest.advanceTimersByTimeAsync(TERM_MS * 0.6);
-    const keeper = world.places[0]!.current!.keeper;
+    const keeper = world.sidecars[0]!.current!.keeper;
     expect(keeper.ownership(0, Date.now()).kind).toBe('mine');
     await world.close();
   });
@@ -237,7 +239,7 @@
 
 /** Checks owners now, and that no time ever changes from one to another. */
 function checkOwners(
-  world: World,
+  world: Cluster,
   seen: Map<string, string>,
   skews: readonly number[],
 ): void {
@@ -245,9 +247,9 @@
   const PROBES = 40;
   const SPAN_MS = 60_000;
   for (let slot = 0; slot < SLOTS; slot += 1) {
-    const object = world.store.peek(types.slotKey('ledger', slot));
+    const object = world.store.peek(types.slotStoreKey('ledger', slot));
     const held = (object?.value ?? cells.EMPTY_SLOT) as types.Slot;
-    if (!cells.isSound(held)) {
+    if (!cells.areCellsDisjoint(held)) {
       faults.push(`cells of ${slot} overlap`);
     }
     for (const skew of skews) {
--- a/src/claims/keeper.ts
+++ b/src/claims/slot-manager.ts
@@ -20,19 +20,19 @@
 
 /** A term is extended when this share of it is left. */
 const EXTEND_AT_SHARE = 2 / 3;
-const RETRY_MS = 500;
-const MIN_TICK_MS = 50;
-const MAX_TICK_MS = 30_000;
+const RETRY_INTERVAL_MS = 500;
+const MIN_UPKEEP_INTERVAL_MS = 50;
+const MAX_UPKEEP_INTERVAL_MS = 30_000;
 
 /** What the keeper needs to know of its service. */
-export interface KeeperSettings {
+export interface SlotManagerSettings {
   readonly service: string;
   readonly slots: number;
   readonly termMs: number;
   readonly retentionMs: number;
 }
 
-interface HeldSlot {
+interface CachedSlot {
   version: number;
   slot: types.Slot;
 }
@@ -47,18 +47,18 @@
   | {readonly kind: 'not-yet'}
   | {readonly kind: 'surrendered'};
 
-export class Keeper {
-  private readonly held = new Map<number, HeldSlot>();
+export class SlotManager {
+  private readonly cache = new Map<number, CachedSlot>();
   private readonly surrendered = new Set<number>();
   /** Starts of cells whose record this process holds, by slot. */
-  private readonly trusted = new Map<number, Set<number>>();
+  private readonly cellsWithRecords = new Map<number, Set<number>>();
   private timer: NodeJS.Timeout | undefined;
   private closed = false;
-  private running: Promise<void> | undefined;
-  private again = false;
+  private currentUpkeep: Promise<void> | undefined;
+  private rerunRequested = false;
 
   constructor(
-    private readonly settings: () => KeeperSettings,
+    private readonly settings: () => SlotManagerSettings,
     readonly self: types.Owner,
     private readonly clock: SteadyClock,
     private readonly store: ObjectApi,
@@ -68,21 +68,21 @@
   ) {}
 
   /** Starts taking slots; call again whenever the live list changes. */
-  wake(): void {
+  triggerUpkeep(): void {
     if (this.closed) {
       return;
     }
-    if (this.running !== undefined) {
-      this.again = true;
+    if (this.currentUpkeep !== undefined) {
+      this.rerunRequested = true;
       return;
     }
     clearTimeout(this.timer);
-    this.running = this.runTick();
+    this.currentUpkeep = this.runUpkeep();
   }
 
   /** Who owns a minting time of a slot, as far as this process knows. */
   ownership(slot: number, mintedAt: number): Ownership {
-    const held = this.held.get(slot);
+    const held = this.cache.get(slot);
     const cell = held && cells.cellAt(held.slot, mintedAt);
     if (cell === undefined) {
       const last = held && cells.lastCell(held.slot);
@@ -96,14 +96,14 @@
     if (this.surrendered.has(slot)) {
       return {kind: 'surrendered'};
     }
-    const trusted = this.trusted.get(slot)?.has(cell.from) ?? false;
+    const trusted = this.cellsWithRecords.get(slot)?.has(cell.from) ?? false;
     return trusted ? {kind: 'mine'} : {kind: 'other', owner: cell.owner};
   }
 
   /** The slots as this process knows them. */
-  table(): {slot: number; cell: types.Cell}[] {
+  listCells(): {slot: number; cell: types.Cell}[] {
     const table: {slot: number; cell: types.Cell}[] = [];
-    for (const [slot, held] of this.held) {
+    for (const [slot, held] of this.cache) {
       for (const cell of held.slot.cells) {
         table.push({slot, cell});
       }
@@ -114,7 +114,7 @@
   /** Slots whose newest cell is this incarnation's own and in force. */
   ownSlots(): number[] {
     const slots: number[] = [];
-    for (const slot of this.held.keys()) {
+    for (const slot of this.cache.keys()) {
       if (this.isOwn(slot) && !this.surrendered.has(slot)) {
         slots.push(slot);
       }
@@ -128,9 +128,9 @@
   }
 
   /** This process holds the record of the slot's cell that starts there. */
-  trust(slot: number, from: number): void {
-    const starts = this.trusted.get(slot) ?? new Set<number>();
-    this.trusted.set(slot, starts.add(from));
+  markRecordsHeld(slot: number, from: number): void {
+    const starts = this.cellsWithRecords.get(slot) ?? new Set<number>();
+    this.cellsWithRecords.set(slot, starts.add(from));
   }
 
   /** Writes the hand-over of a surrendered slot. */
@@ -138,7 +138,7 @@
     slot: number,
     successor: types.Owner,
   ): Promise<Result<void, PlatformError | cells.CellError>> {
-    const held = this.held.get(slot);
+    const held = this.cache.get(slot);
     if (held === undefined || !this.surrendered.has(slot)) {
       return fail({kind: 'not-owner'});
     }
@@ -152,13 +152,13 @@
 
   /** Reads one slot from the store, now. */
   async refresh(slot: number): Promise<boolean> {
-    const key = types.slotKey(this.settings().service, slot);
+    const key = types.slotStoreKey(this.settings().service, slot);
     const read = await this.store.get(key);
     if (!read.ok) {
       return false;
     }
     if (read.value !== null) {
-      this.adopt(read.value);
+      this.cacheIfNewer(read.value);
     }
     return true;
   }
@@ -167,47 +167,47 @@
   async close(): Promise<void> {
     this.closed = true;
     clearTimeout(this.timer);
-    await this.running;
+    await this.currentUpkeep;
   }
 
-  private async runTick(): Promise<void> {
-    const delayMs = await this.tick();
-    this.running = undefined;
+  private async runUpkeep(): Promise<void> {
+    const delayMs = await this.upkeepSlots();
+    this.currentUpkeep = undefined;
     if (this.closed) {
       return;
     }
-    if (this.again) {
-      this.again = false;
-      this.wake();
+    if (this.rerunRequested) {
+      this.rerunRequested = false;
+      this.triggerUpkeep();
       return;
     }
-    this.timer = setTimeout(() => this.wake(), delayMs);
+    this.timer = setTimeout(() => this.triggerUpkeep(), delayMs);
   }
 
   /** One round of upkeep. Answers milliseconds until the next. */
-  private async tick(): Promise<number> {
-    const prefix = types.slotPrefix(this.settings().service);
+  private async upkeepSlots(): Promise<number> {
+    const prefix = types.slotStorePrefix(this.settings().service);
     if (this.needsListing()) {
       const listing = await this.store.list(prefix);
       if (!listing.ok) {
-        return random.jitter(RETRY_MS);
+        return random.jitter(RETRY_INTERVAL_MS);
       }
-      listing.value.items.forEach(item => this.adopt(item));
+      listing.value.items.forEach(item => this.cacheIfNewer(item));
     }
     let allDone = true;
     for (let slot = 0; slot < this.settings().slots; slot += 1) {
-      allDone = (await this.keepSlot(slot)) && allDone;
+      allDone = (await this.upkeepSlot(slot)) && allDone;
     }
-    return allDone ? this.nextDelay() : random.jitter(RETRY_MS);
+    return allDone ? this.nextDelayMs() : random.jitter(RETRY_INTERVAL_MS);
   }
 
   private needsListing(): boolean {
     const {slots} = this.settings();
     const now = this.clock.now();
     for (let slot = 0; slot < slots; slot += 1) {
-      const held = this.held.get(slot);
-      const isDue = held === undefined || this.isTakable(held.slot, now);
-      if (isDue && this.isWanted(slot) && !this.isOwn(slot)) {
+      const held = this.cache.get(slot);
+      const isDue = held === undefined || this.canBeTaken(held.slot, now);
+      if (isDue && this.isAssignedHere(slot) && !this.isOwn(slot)) {
         return true;
       }
     }
@@ -215,19 +215,19 @@
   }
 
   private isOwn(slot: number): boolean {
-    const held = this.held.get(slot);
+    const held = this.cache.get(slot);
     const last = held && cells.lastCell(held.slot);
     return last?.owner.incarnation === this.self.incarnation;
   }
 
-  private isWanted(slot: number): boolean {
+  private isAssignedHere(slot: number): boolean {
     const {service} = this.settings();
     const ids = this.liveIds();
     const best = rendezvous.topByKey(`${service}/${slot}`, ids, id => id, 1);
     return best[0] === this.self.targetId && !this.surrendered.has(slot);
   }
 
-  private isTakable(slot: types.Slot, now: number): boolean {
+  private canBeTaken(slot: types.Slot, now: number): boolean {
     const last = cells.lastCell(slot);
     return (
       last === undefined ||
@@ -249,9 +249,9 @@
   }
 
   /** Answers false where the slot must be tried again soon. */
-  private async keepSlot(slot: number): Promise<boolean> {
+  private async upkeepSlot(slot: number): Promise<boolean> {
     const now = this.clock.now();
-    const held = this.held.get(slot);
+    const held = this.cache.get(slot);
     const last = held && cells.lastCell(held.slot);
     if (held && last && this.isOwn(slot)) {
       const {termMs} = this.settings();
@@ -260,15 +260,15 @@
       return due && keep ? this.extendSlot(slot, held) : true;
     }
     if (held && last && this.isDeadPredecessor(last.owner)) {
-      return this.cutPredecessor(slot, held, last.owner);
+      return this.endPredecessorCell(slot, held, last.owner);
     }
-    if (!this.isWanted(slot)) {
+    if (!this.isAssignedHere(slot)) {
       return true;
     }
     return this.takeSlot(slot, held);
   }
 
-  private async extendSlot(slot: number, held: HeldSlot): Promise<boolean> {
+  private async extendSlot(slot: number, held: CachedSlot): Promise<boolean> {
     const {termMs, retentionMs} = this.settings();
     const now = this.clock.now();
     const next = cells.extend(
@@ -286,12 +286,12 @@
     return written.ok;
   }
 
-  private async cutPredecessor(
+  private async endPredecessorCell(
     slot: number,
-    held: HeldSlot,
+    held: CachedSlot,
     predecessor: types.Owner,
   ): Promise<boolean> {
-    const reading = cells.readForeignClock(predecessor.anchor, monotonicMs());
+    const reading = cells.readClockOf(predecessor.anchor, monotonicMs());
     const at = reading + predecessor.leadMs + 1;
     const cut = cells.cutShort(held.slot, predecessor.incarnation, at);
     if (!cut.ok) {
@@ -299,7 +299,7 @@
     }
     const {termMs} = this.settings();
     const now = this.clock.now();
-    const taken = this.isWanted(slot)
+    const taken = this.isAssignedHere(slot)
       ? cells.take(cut.value, this.self, now, now + termMs, Infinity)
       : cut;
     const next = taken.ok ? taken.value : cut.value;
@@ -312,7 +312,7 @@
 
   private async takeSlot(
     slot: number,
-    held: HeldSlot | undefined,
+    held: CachedSlot | undefined,
   ): Promise<boolean> {
     const {termMs, retentionMs} = this.settings();
     const now = this.clock.now();
@@ -346,18 +346,18 @@
   ): Promise<Result<number, PlatformError>> {
     for (const cell of next.cells) {
       if (cell.owner.incarnation === this.self.incarnation) {
-        this.trust(slot, cell.from);
+        this.markRecordsHeld(slot, cell.from);
       }
     }
-    const key = types.slotKey(this.settings().service, slot);
+    const key = types.slotStoreKey(this.settings().service, slot);
     const written = await this.store.put(key, next, version);
     if (written.ok) {
-      this.adopt({key, version: written.value, value: next});
+      this.cacheIfNewer({key, version: written.value, value: next});
       return written;
     }
     if (written.error.kind === 'conflict') {
       if (written.error.current !== null) {
-        this.adopt(written.error.current);
+        this.cacheIfNewer(written.error.current);
       }
     } else {
       if (written.error.kind === 'unavailable' && written.error.maybeApplied) {
@@ -368,29 +368,29 @@
     return written;
   }
 
-  private adopt(item: StoredObject): void {
+  private cacheIfNewer(item: StoredObject): void {
     const parsed = v.safeParse(types.slotSchema, item.value);
-    const slot = types.slotOfKey(item.key);
+    const slot = types.slotOfStoreKey(item.key);
     if (!parsed.success || !Number.isInteger(slot)) {
       return;
     }
-    const held = this.held.get(slot);
+    const held = this.cache.get(slot);
     if (held !== undefined && held.version >= item.version) {
       return;
     }
     const wasOwn = this.isOwn(slot);
-    this.held.set(slot, {version: item.version, slot: parsed.output});
+    this.cache.set(slot, {version: item.version, slot: parsed.output});
     if (wasOwn && !this.isOwn(slot)) {
       this.log.event('cellLost', {slot});
     }
   }
 
-  private nextDelay(): number {
+  private nextDelayMs(): number {
     const now = this.clock.now();
     const {slots, termMs} = this.settings();
-    let soonest = now + MAX_TICK_MS;
+    let soonest = now + MAX_UPKEEP_INTERVAL_MS;
     for (let slot = 0; slot < slots; slot += 1) {
-      const held = this.held.get(slot);
+      const held = this.cache.get(slot);
       const last = held && cells.lastCell(held.slot);
       if (last === undefined) {
         continue;
@@ -398,10 +398,10 @@
       if (this.isOwn(slot)) {
         const extendAt = last.until - termMs * EXTEND_AT_SHARE;
         soonest = Math.min(soonest, extendAt);
-      } else if (this.isWanted(slot)) {
+      } else if (this.isAssignedHere(slot)) {
         soonest = Math.min(soonest, last.until - this.self.leadMs);
       }
     }
-    return Math.max(soonest - now, MIN_TICK_MS);
+    return Math.max(soonest - now, MIN_UPKEEP_INTERVAL_MS);
   }
 }
--- a/src/claims/types.ts
+++ b/src/claims/types.ts
@@ -49,15 +49,15 @@
 export type Slot = v.InferOutput<typeof slotSchema>;
 
 /** Where a slot lies in the store. */
-export function slotKey(service: string, slot: number): string {
-  return `${slotPrefix(service)}${String(slot).padStart(4, '0')}`;
+export function slotStoreKey(service: string, slot: number): string {
+  return `${slotStorePrefix(service)}${String(slot).padStart(4, '0')}`;
 }
 
-export function slotPrefix(service: string): string {
+export function slotStorePrefix(service: string): string {
   return `${CLAIMS_PREFIX}${service}/`;
 }
 
 /** The slot's number in a store key. */
-export function slotOfKey(key: string): number {
+export function slotOfStoreKey(key: string): number {
   return Number(key.slice(key.lastIndexOf('/') + 1));
 }
--- a/src/requests/admission.test.ts
+++ b/src/requests/admission.test.ts
@@ -1,9 +1,9 @@
-import {Admission, Applicant, Ticket} from './admission';
+import {Admission, AdmissionRequest, Ticket} from './admission';
 import type {Refusal} from './refusals';
 import type {Result} from '../result';
 import {RETURN_MS} from '../targets/rest';
 
-function applicant(): Applicant {
+function applicant(): AdmissionRequest {
   return {
     account: 'a',
     weight: 1,
@@ -33,9 +33,9 @@
 
   it('refuses at once, with when it is over', async () => {
     const admission = makeAdmission();
-    expect(admission.askRest(2_000)).toBe(true);
+    expect(admission.startCooldown(2_000)).toBe(true);
     jest.advanceTimersByTime(500);
-    const entered = await admission.enter(applicant());
+    const entered = await admission.admit(applicant());
     expect(entered).toMatchObject({
       ok: false,
       error: {kind: 'resting', outcome: 'not-run'},
@@ -43,16 +43,16 @@
     const retryAfterMs = entered.ok ? 0 : entered.error.retryAfterMs!;
     expect(retryAfterMs).toBeGreaterThanOrEqual(1_500);
     expect(retryAfterMs).toBeLessThanOrEqual(1_700);
-    expect(admission.askRest(10)).toBe(false);
+    expect(admission.startCooldown(10)).toBe(false);
   });
 
   it('refuses what is queued as the target asks', async () => {
     const admission = makeAdmission();
     const entering = Array.from({length: 6}, () =>
-      admission.enter(applicant()),
+      admission.admit(applicant()),
     );
     expect(admission.queuedCount).toBe(2);
-    admission.askRest(2_000);
+    admission.startCooldown(2_000);
     expect(admission.queuedCount).toBe(0);
     const kinds = (await Promise.all(entering)).map(kindOf);
     expect(kinds.slice(4)).toEqual(['resting', 'resting']);
@@ -60,16 +60,16 @@
 
   it('lets one in at a time after it, until one is taken', async () => {
     const admission = makeAdmission();
-    admission.askRest(1_000);
+    admission.startCooldown(1_000);
     jest.advanceTimersByTime(1_101);
     const sentAt = performance.now();
     const entering = Array.from({length: 5}, () =>
-      admission.enter(applicant()),
+      admission.admit(applicant()),
     );
     expect(admission.runningCount).toBe(1);
     release(await entering[0]!);
     expect(admission.runningCount).toBe(1);
-    admission.noteTaken(sentAt);
+    admission.noteAccepted(sentAt);
     expect(admission.runningCount).toBe(4);
     expect((await Promise.all(entering)).map(kindOf)).toEqual(
       entering.map(() => 'let-in'),
@@ -78,10 +78,10 @@
 
   it('lets the others in where the one that is tried hangs', async () => {
     const admission = makeAdmission();
-    admission.askRest(1_000);
+    admission.startCooldown(1_000);
     jest.advanceTimersByTime(1_101);
     const entering = Array.from({length: 4}, () =>
-      admission.enter(applicant()),
+      admission.admit(applicant()),
     );
     expect(admission.runningCount).toBe(1);
     jest.advanceTimersByTime(RETURN_MS);
--- a/src/requests/admission.ts
+++ b/src/requests/admission.ts
@@ -8,10 +8,10 @@
 import * as fairQueue from './fair-queue';
 import {Rest} from '../targets/rest';
 import * as refusals from './refusals';
-import {ReturnBook} from './return-book';
+import {RetryReservations} from './retry-reservations';
 
 /** A request that asks to be let in. */
-export interface Applicant {
+export interface AdmissionRequest {
   readonly account: string;
   readonly weight: number;
   readonly priority: number;
@@ -19,7 +19,7 @@
   /** Unix milliseconds. */
   readonly deadlineAt: number;
   /** True: the caller says that it comes back as it was told to. */
-  readonly isReturning?: boolean;
+  readonly isReservedRetry?: boolean;
 }
 
 /** Limits of a target. */
@@ -36,69 +36,69 @@
   release(): void;
 }
 
-interface Waiting extends Applicant {
+interface QueuedRequest extends AdmissionRequest {
   readonly queuedAt: number;
   readonly settle: (result: Result<Ticket, refusals.Refusal>) => void;
   timer: NodeJS.Timeout | undefined;
-  predictedMs: number;
+  predictedWaitMs: number;
 }
 
-const EWMA_SHARE = 0.1;
+const EWMA_ALPHA = 0.1;
 const INITIAL_SERVICE_MS = 50;
 /** Share of the deadline that a newcomer may wait while a line stands. */
-const NEWCOMER_SHARE = 0.3;
+const MAX_UNRESERVED_WAIT_SHARE = 0.3;
 /** Predicted waits are learnt from: longest correction either way. */
-const MIN_BIAS = 0.5;
-const MAX_BIAS = 4;
-const MIN_PREDICTED_MS = 1;
+const MIN_WAIT_CORRECTION = 0.5;
+const MAX_WAIT_CORRECTION = 4;
+const MIN_PREDICTED_WAIT_MS = 1;
 const RATE_HALF_LIFE_MS = 1_000;
 
 export class Admission {
-  private readonly queue = new fairQueue.FairQueue<Waiting>();
+  private readonly queue = new fairQueue.FairQueue<QueuedRequest>();
   private running = 0;
   private serviceMs = INITIAL_SERVICE_MS;
   /** By how much waits turn out longer than predicted. */
-  private bias = 1;
-  private readonly returns = new ReturnBook();
-  private readonly rates = new Map<string, DecayingRate>();
-  private stopped: refusals.Refusal | undefined;
+  private waitCorrection = 1;
+  private readonly reservations = new RetryReservations();
+  private readonly completionRates = new Map<string, DecayingRate>();
+  private stopRefusal: refusals.Refusal | undefined;
   /** What the target has asked for. */
-  private readonly rest = new Rest();
-  private restTimer: NodeJS.Timeout | undefined;
+  private readonly cooldown = new Rest();
+  private cooldownTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly settings: () => AdmissionSettings) {}
 
   /** Asks for room. Fails with `overloaded`, `deadline-...`, `resting`... */
-  enter(
-    applicant: Applicant,
+  admit(
+    applicant: AdmissionRequest,
     signal?: AbortSignal,
   ): Promise<Result<Ticket, refusals.Refusal>> {
-    if (this.stopped !== undefined) {
-      return Promise.resolve(fail(this.stopped));
+    if (this.stopRefusal !== undefined) {
+      return Promise.resolve(fail(this.stopRefusal));
     }
-    if (this.rest.isResting(performance.now())) {
-      return Promise.resolve(fail(this.restRefusal()));
+    if (this.cooldown.isResting(performance.now())) {
+      return Promise.resolve(fail(this.cooldownRefusal()));
     }
     const now = Date.now();
-    const isDue =
-      applicant.isReturning === true &&
-      this.returns.takeDue(applicant.account, now);
+    const hasDueReservation =
+      applicant.isReservedRetry === true &&
+      this.reservations.consumeDue(applicant.account, now);
     if (this.running < this.capacity && this.queue.size === 0) {
       return Promise.resolve(ok(this.start(applicant.account, 0)));
     }
-    if (!isDue && this.mustLineUp(applicant, now)) {
+    if (!hasDueReservation && this.mustYieldToReservations(applicant, now)) {
       const refusal = this.deadlineRefusal(applicant, this.expectedWaitMs);
       return Promise.resolve(fail(refusal));
     }
     return new Promise(settle => {
-      const waiting: Waiting = {
+      const waiting: QueuedRequest = {
         ...applicant,
         queuedAt: Date.now(),
         settle,
         timer: undefined,
-        predictedMs: 0,
+        predictedWaitMs: 0,
       };
-      this.admitToQueue(waiting, signal);
+      this.enqueue(waiting, signal);
     });
   }
 
@@ -106,23 +106,23 @@
    * The target asks for so many milliseconds of rest: what is queued is refused
    * at once. True where it was at none.
    */
-  askRest(ms: number): boolean {
+  startCooldown(ms: number): boolean {
     const now = performance.now();
-    const isNew = !this.rest.isResting(now);
-    this.rest.ask(ms, now);
+    const isNew = !this.cooldown.isResting(now);
+    this.cooldown.ask(ms, now);
     // Who waits behind a trial that hangs is let in then.
-    clearTimeout(this.restTimer);
-    const leftMs = Math.ceil(this.rest.leftMs(now));
-    this.restTimer = setTimeout(() => this.startNext(), leftMs);
-    this.restTimer.unref();
-    const refusal = this.restRefusal();
+    clearTimeout(this.cooldownTimer);
+    const leftMs = Math.ceil(this.cooldown.leftMs(now));
+    this.cooldownTimer = setTimeout(() => this.startNext(), leftMs);
+    this.cooldownTimer.unref();
+    const refusal = this.cooldownRefusal();
     [...this.queue.items()].forEach(waiting => this.refuse(waiting, refusal));
     return isNew;
   }
 
   /** The target has taken a request that was sent at a monotonic time. */
-  noteTaken(sentAt: number): void {
-    this.rest.noteTaken(sentAt);
+  noteAccepted(sentAt: number): void {
+    this.cooldown.noteTaken(sentAt);
     this.startNext();
   }
 
@@ -136,13 +136,13 @@
 
   /** Milliseconds that a request of no priority would wait now. */
   get expectedWaitMs(): number {
-    return this.waitBehind(this.queue.size);
+    return this.predictWaitMs(this.queue.size);
   }
 
   /** Refuses what is queued and all that comes. */
   stop(refusal: refusals.Refusal): void {
-    this.stopped = refusal;
-    clearTimeout(this.restTimer);
+    this.stopRefusal = refusal;
+    clearTimeout(this.cooldownTimer);
     for (const waiting of this.queue.items()) {
       this.refuse(waiting, refusal);
     }
@@ -151,24 +151,24 @@
   /** Requests that the target may have now. */
   private get capacity(): number {
     const {capacity} = this.settings();
-    return this.rest.isReturning(performance.now())
+    return this.cooldown.isReturning(performance.now())
       ? Math.min(capacity, 1)
       : capacity;
   }
 
-  private restRefusal(): refusals.Refusal {
+  private cooldownRefusal(): refusals.Refusal {
     return refusals.notRun(
       'resting',
       'the target has asked for rest',
-      this.rest.waitMs(performance.now()),
+      this.cooldown.waitMs(performance.now()),
     );
   }
 
-  private admitToQueue(waiting: Waiting, signal?: AbortSignal): void {
-    const waitMs = this.waitBehind(this.queue.countAhead(waiting));
+  private enqueue(waiting: QueuedRequest, signal?: AbortSignal): void {
+    const waitMs = this.predictWaitMs(this.queue.countAhead(waiting));
     const slackMs = waiting.deadlineAt - Date.now() - this.serviceMs;
-    waiting.predictedMs = waitMs;
-    if (waitMs * this.bias > slackMs) {
+    waiting.predictedWaitMs = waitMs;
+    if (waitMs * this.waitCorrection > slackMs) {
       waiting.settle(fail(this.deadlineRefusal(waiting, waitMs)));
       return;
     }
@@ -185,27 +185,27 @@
       () => this.expire(waiting),
       Math.max(slackMs, 0),
     );
-    signal?.addEventListener('abort', () => this.leaveQueue(waiting), {
+    signal?.addEventListener('abort', () => this.cancelQueued(waiting), {
       once: true,
     });
   }
 
-  private leaveQueue(waiting: Waiting): void {
+  private cancelQueued(waiting: QueuedRequest): void {
     this.refuse(
       waiting,
       refusals.notRun('deadline-exceeded', 'the caller went away'),
     );
   }
 
-  private refuse(waiting: Waiting, refusal: refusals.Refusal): void {
+  private refuse(waiting: QueuedRequest, refusal: refusals.Refusal): void {
     clearTimeout(waiting.timer);
     this.queue.remove(waiting);
     waiting.settle(fail(refusal));
   }
 
   /** It will not make it: the prediction was too good. */
-  private expire(waiting: Waiting): void {
-    this.learnBias(waiting);
+  private expire(waiting: QueuedRequest): void {
+    this.updateWaitCorrection(waiting);
     this.refuse(waiting, this.deadlineRefusal(waiting, this.expectedWaitMs));
   }
 
@@ -219,7 +219,7 @@
       }
       released = true;
       this.running -= 1;
-      this.learnService(account, Date.now() - startedAt);
+      this.updateServiceTime(account, Date.now() - startedAt);
       this.startNext();
     };
     return {waitedMs, release};
@@ -232,42 +232,49 @@
         return;
       }
       clearTimeout(waiting.timer);
-      this.learnBias(waiting);
+      this.updateWaitCorrection(waiting);
       const waitedMs = Date.now() - waiting.queuedAt;
       waiting.settle(ok(this.start(waiting.account, waitedMs)));
     }
   }
 
-  private learnService(account: string, serviceMs: number): void {
-    this.serviceMs += EWMA_SHARE * (serviceMs - this.serviceMs);
-    const rate = this.rates.get(account) ?? new DecayingRate();
-    this.rates.set(account, rate);
-    rate.note(Date.now());
+  private updateServiceTime(account: string, serviceMs: number): void {
+    this.serviceMs += EWMA_ALPHA * (serviceMs - this.serviceMs);
+    const rate = this.completionRates.get(account) ?? new DecayingRate();
+    this.completionRates.set(account, rate);
+    rate.addEvent(Date.now());
   }
 
   /** Others overtake who queues: how much so is learnt from what came. */
-  private learnBias(waiting: Waiting): void {
+  private updateWaitCorrection(waiting: QueuedRequest): void {
     const waitedMs = Date.now() - waiting.queuedAt;
-    const predictedMs = Math.max(waiting.predictedMs, MIN_PREDICTED_MS);
-    const seen = Math.min(waitedMs / predictedMs, MAX_BIAS);
-    this.bias += EWMA_SHARE * (seen - this.bias);
-    this.bias = Math.max(this.bias, MIN_BIAS);
+    const predictedMs = Math.max(
+      waiting.predictedWaitMs,
+      MIN_PREDICTED_WAIT_MS,
+    );
+    const seen = Math.min(waitedMs / predictedMs, MAX_WAIT_CORRECTION);
+    this.waitCorrection += EWMA_ALPHA * (seen - this.waitCorrection);
+    this.waitCorrection = Math.max(this.waitCorrection, MIN_WAIT_CORRECTION);
   }
 
   /** While an account's callers wait their turn, newcomers don't pass. */
-  private mustLineUp(applicant: Applicant, now: number): boolean {
+  private mustYieldToReservations(
+    applicant: AdmissionRequest,
+    now: number,
+  ): boolean {
     const slackMs = applicant.deadlineAt - now - this.serviceMs;
     return (
-      this.returns.hasLine(applicant.account, now) &&
-      this.waitBehind(this.queueAheadOf(applicant)) > slackMs * NEWCOMER_SHARE
+      this.reservations.hasAny(applicant.account, now) &&
+      this.predictWaitMs(this.countAheadOf(applicant)) >
+        slackMs * MAX_UNRESERVED_WAIT_SHARE
     );
   }
 
-  private queueAheadOf(applicant: Applicant): number {
-    return this.queue.countAhead(applicant as Waiting);
+  private countAheadOf(applicant: AdmissionRequest): number {
+    return this.queue.countAhead(applicant as QueuedRequest);
   }
 
-  private waitBehind(ahead: number): number {
+  private predictWaitMs(ahead: number): number {
     const {capacity} = this.settings();
     if (this.running + ahead < capacity) {
       return 0;
@@ -276,52 +283,57 @@
   }
 
   private deadlineRefusal(
-    applicant: Applicant,
+    applicant: AdmissionRequest,
     waitMs: number,
   ): refusals.Refusal {
     return refusals.notRun(
       'deadline-unreachable',
       `the wait would be ${Math.ceil(waitMs)} ms`,
-      this.bookReturn(applicant),
+      this.reserveRetry(applicant),
     );
   }
 
-  private overloadRefusal(applicant: Applicant): refusals.Refusal {
+  private overloadRefusal(applicant: AdmissionRequest): refusals.Refusal {
     return refusals.notRun(
       'overloaded',
       `${this.queue.size} requests are queued`,
-      this.bookReturn(applicant),
+      this.reserveRetry(applicant),
     );
   }
 
   /** Milliseconds after which to come back: the next place in the line. */
-  private bookReturn(applicant: Applicant): number {
+  private reserveRetry(applicant: AdmissionRequest): number {
     const now = Date.now();
     const {capacity} = this.settings();
     const whole = capacity / this.serviceMs;
-    const own = this.rates.get(applicant.account)?.perMs(now) ?? 0;
-    const rate = Math.max(own, whole / Math.max(this.rates.size, 1));
+    const own = this.completionRates.get(applicant.account)?.perMs(now) ?? 0;
+    const rate = Math.max(own, whole / Math.max(this.completionRates.size, 1));
     const soonest = now + this.expectedWaitMs;
-    const time = this.returns.book(applicant.account, now, soonest, 1 / rate);
+    const time = this.reservations.reserve(
+      applicant.account,
+      now,
+      soonest,
+      1 / rate,
+    );
     return time - now;
   }
 }
 
 /** Events a millisecond, decayed. */
 class DecayingRate {
-  private weight = 0;
-  private at = 0;
+  private count = 0;
+  private updatedAt = 0;
 
-  note(now: number): void {
-    this.weight = this.decayed(now) + 1;
-    this.at = now;
+  addEvent(now: number): void {
+    this.count = this.countAt(now) + 1;
+    this.updatedAt = now;
   }
 
   perMs(now: number): number {
-    return (this.decayed(now) * Math.LN2) / RATE_HALF_LIFE_MS;
+    return (this.countAt(now) * Math.LN2) / RATE_HALF_LIFE_MS;
   }
 
-  private decayed(now: number): number {
-    return this.weight * 0.5 ** ((now - this.at) / RATE_HALF_LIFE_MS);
+  private countAt(now: number): number {
+    return this.count * 0.5 ** ((now - this.updatedAt) / RATE_HALF_LIFE_MS);
   }
 }
--- a/src/requests/assistant.ts
+++ b/src/requests/chat-request.ts
@@ -29,7 +29,7 @@
 export const STREAMS_PATH = '/v1/streams/';
 
 /** Reads a chat completion. Fails with `bad-request`. */
-export function readChat(text: Buffer): Result<ChatRequest, refusals.Refusal> {
+export function parseChat(text: Buffer): Result<ChatRequest, refusals.Refusal> {
   const json = body.parseJson(text.toString('utf8'));
   if (!json.ok) {
     return fail(refusals.notRun('bad-request', 'the body is no JSON'));
--- a/src/requests/entry-assistant.ts
+++ b/src/requests/entry-chat.ts
@@ -4,31 +4,31 @@
 import * as httpClient from '../http/client';
 import * as prefixes from '../routing/prefixes';
 import type {Known} from '../targets/directory';
-import * as assistant from './assistant';
+import * as assistant from './chat-request';
 import * as entry from './entry-context';
 import * as forwarding from './entry-forward';
 import * as eventStream from './event-stream';
 import * as refusals from './refusals';
-import {SequenceGate} from './sequence';
-import * as answers from './answers';
+import {ReorderBuffer} from './reorder-buffer';
+import * as answers from './responses';
 
-const RESUME_PATIENCE_MS = 4_000;
-const RESUME_PAUSE_MS = 150;
-const LOST_RETRY_MS = 1_000;
+const RESUME_TIMEOUT_MS = 4_000;
+const RESUME_RETRY_INTERVAL_MS = 150;
+const STREAM_LOST_RETRY_AFTER_MS = 1_000;
 
 /** Runs a chat completion whose body has been read. */
 export async function runChat(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
   chat: assistant.ChatRequest,
-  text: Buffer,
+  payload: Buffer,
 ): Promise<void> {
   const prefix = prefixes.digestPrefix(`${caller.account.id}\n${chat.prompt}`);
   const promptTokens = prefixes.estimateTokens(chat.prompt);
   const sent = await forwarding.forward(context, caller, {
     method: 'POST',
     path: assistant.CHAT_PATH,
-    text,
+    payload,
     routed: {
       account: caller.account.id,
       prefix,
@@ -45,8 +45,8 @@
   context.prefixes.noteSent(prefix, target.id, promptTokens);
   try {
     await (answers.isEventStream(res)
-      ? pump(context, caller, target, res, 0)
-      : entry.passOn(context, caller, res, 'assistant'));
+      ? relayStream(context, caller, target, res, 0)
+      : entry.relayResponse(context, caller, res, 'assistant'));
   } finally {
     done();
   }
@@ -69,28 +69,36 @@
   // started serves before the list has come that names it.
   const target = await context.targets.whenFound(
     stream.target,
-    Math.min(RESUME_PATIENCE_MS, entry.timeLeft(caller)),
+    Math.min(RESUME_TIMEOUT_MS, entry.remainingMs(caller)),
     caller.signal,
   );
   if (target === undefined) {
-    entry.refuseCaller(context, caller, lostRefusal('its target is unknown'));
+    entry.refuseCaller(
+      context,
+      caller,
+      streamLostRefusal('its target is unknown'),
+    );
     return;
   }
   const owned = {...caller, id: stream.request};
-  const res = await resumeAt(context, owned, target, event.sequence);
+  const res = await resumeAtTarget(context, owned, target, event.sequence);
   if (res === undefined) {
-    entry.refuseCaller(context, caller, lostRefusal('it is not kept'));
+    entry.refuseCaller(context, caller, streamLostRefusal('it is not kept'));
     return;
   }
-  await pump(context, owned, target, res, event.sequence);
+  await relayStream(context, owned, target, res, event.sequence);
 }
 
-function lostRefusal(detail: string): refusals.Refusal {
-  return refusals.unknownOutcome('stream-lost', detail, LOST_RETRY_MS);
+function streamLostRefusal(detail: string): refusals.Refusal {
+  return refusals.unknownOutcome(
+    'stream-lost',
+    detail,
+    STREAM_LOST_RETRY_AFTER_MS,
+  );
 }
 
 /** Passes events on until the end, resuming where a connection breaks. */
-async function pump(
+async function relayStream(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
   target: Known,
@@ -106,8 +114,8 @@
   });
   res.flushHeaders();
   const name = `${target.id}.${caller.id}`;
-  const gate = new SequenceGate<string>(after);
-  const meter = new TokenMeter(context, caller);
+  const gate = new ReorderBuffer<string>(after);
+  const meter = new TokenTimer(context, caller);
   const deliver: eventStream.Deliver = (sequence, data) => {
     meter.noteToken();
     return eventStream.writeEvent(res, `${name}.${sequence}`, data);
@@ -117,28 +125,28 @@
   while (connection !== undefined) {
     const end = await eventStream.readEvents(connection, name, gate, deliver);
     if (res.destroyed) {
-      caller.entry.outcome = 'caller went away';
+      caller.journalEntry.outcome = 'caller went away';
       context.log.event('callerGone', {request: caller.id});
       return;
     }
     if (end.kind === 'done' || end.kind === 'failed') {
-      await finish(context, caller, end);
+      await finishStream(context, caller, end);
       return;
     }
     if (end.kind === 'foreign') {
       context.log.event('foreignAnswer', {request: caller.id, named: end.id});
     }
-    connection = await resumeAt(context, caller, target, gate.delivered);
+    connection = await resumeAtTarget(context, caller, target, gate.delivered);
   }
-  await breakOff(context, caller, target.id, gate.delivered);
+  await abortStream(context, caller, target.id, gate.delivered);
 }
 
-async function finish(
+async function finishStream(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
   end: eventStream.StreamEnd,
 ): Promise<void> {
-  caller.entry.outcome = end.kind;
+  caller.journalEntry.outcome = end.kind;
   if (end.kind === 'failed') {
     const error = body.parseJson(end.data);
     await eventStream.writeErrorEvent(caller.res, error.ok ? error.value : {});
@@ -150,29 +158,31 @@
 }
 
 /** The stream cannot go on: the caller gets a typed error, never a stump. */
-async function breakOff(
+async function abortStream(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
   target: string,
   delivered: number,
 ): Promise<void> {
-  const refusal = lostRefusal(`${target} lost it after event ${delivered}`);
-  caller.entry.outcome = 'stream-lost';
+  const refusal = streamLostRefusal(
+    `${target} lost it after event ${delivered}`,
+  );
+  caller.journalEntry.outcome = 'stream-lost';
   context.log.event('streamBroken', {request: caller.id, target, delivered});
   context.metrics.count('answers_total', {kind: 'stream', end: 'lost'});
-  const document = refusals.problemOf(refusal, caller.id);
+  const document = refusals.problemDocument(refusal, caller.id);
   await eventStream.writeErrorEvent(caller.res, document);
   caller.res.end();
 }
 
 /** Tries for a while: a sidecar that restarts in place is soon back. */
-async function resumeAt(
+async function resumeAtTarget(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
   target: Known,
   after: number,
 ): Promise<http.IncomingMessage | undefined> {
-  const giveUpAt = Math.min(Date.now() + RESUME_PATIENCE_MS, caller.deadlineAt);
+  const giveUpAt = Math.min(Date.now() + RESUME_TIMEOUT_MS, caller.deadlineAt);
   while (Date.now() < giveUpAt && !caller.signal.aborted) {
     const sent = await httpClient.send(context.agent, {
       address: target.address,
@@ -195,13 +205,13 @@
         return undefined;
       }
     }
-    await new Promise(resolve => setTimeout(resolve, RESUME_PAUSE_MS));
+    await new Promise(resolve => setTimeout(resolve, RESUME_RETRY_INTERVAL_MS));
   }
   return undefined;
 }
 
 /** Times first tokens and the gaps between tokens. */
-class TokenMeter {
+class TokenTimer {
   private lastAt = 0;
 
   constructor(
--- a/src/requests/entry-context.ts
+++ b/src/requests/entry-context.ts
@@ -1,6 +1,6 @@
 /** What the parts of an entry's data path share. */
 import type * as http from 'node:http';
-import type {Directory} from '../claims/directory';
+import type {OwnerDirectory} from '../claims/owner-directory';
 import type {Follower} from '../configuration/follower';
 import type {RenderedAccount} from '../configuration/types';
 import * as body from '../http/body';
@@ -13,7 +13,7 @@
 import * as rpcTypes from '../rpc/types';
 import type {Target, TargetDirectory} from '../targets/directory';
 import * as targets from '../targets/types';
-import {contentHeaders} from './answers';
+import {contentHeaders} from './responses';
 import * as headers from './headers';
 import type {Journal, JournalEntry} from './journal';
 import * as refusals from './refusals';
@@ -25,7 +25,7 @@
   readonly address: () => string;
   readonly follower: Follower;
   readonly targets: TargetDirectory;
-  readonly claims: Directory;
+  readonly owners: OwnerDirectory;
   readonly policy: Policy;
   readonly prefixes: PrefixMemory;
   readonly budget: RetryBudget;
@@ -45,13 +45,13 @@
   readonly startedAt: number;
   /** Unix milliseconds. */
   readonly deadlineAt: number;
-  readonly entry: JournalEntry;
+  readonly journalEntry: JournalEntry;
   /** Fires when the caller goes away. */
   readonly signal: AbortSignal;
 }
 
 /** Milliseconds left until the caller's deadline. */
-export function timeLeft(caller: CallerRequest): number {
+export function remainingMs(caller: CallerRequest): number {
   return Math.max(caller.deadlineAt - Date.now(), 0);
 }
 
@@ -65,7 +65,7 @@
   return {
     [refusals.REQUEST_HEADER]: caller.id,
     [headers.ACCOUNT_HEADER]: caller.account.id,
-    [headers.TIMEOUT_HEADER]: String(Math.floor(timeLeft(caller))),
+    [headers.TIMEOUT_HEADER]: String(Math.floor(remainingMs(caller))),
     [rpcTypes.STAMP_HEADER]: context.follower.stampExchange.mine(),
     [rpcTypes.PEER_HEADER]: context.address(),
     ...(type === undefined ? {} : {'content-type': type}),
@@ -74,7 +74,7 @@
 }
 
 /** Learns from an answer's headers: load, stamp, leaving. */
-export function learnFrom(
+export function applyResponseHeaders(
   context: EntryContext,
   target: Target | undefined,
   address: string,
@@ -106,9 +106,9 @@
     retryAfterMs?: unknown;
   };
   const outcome = body.headerOf(res, refusals.OUTCOME_HEADER);
-  const returnTo = body.headerOf(res, headers.RETURN_HEADER);
+  const reservedTargetId = body.headerOf(res, headers.RETURN_HEADER);
   return {
-    returnTo,
+    reservedTargetId,
     kind: kind as refusals.RefusalKind,
     outcome: outcome === 'not-run' || outcome === 'ran' ? outcome : 'unknown',
     detail: typeof document.detail === 'string' ? document.detail : '',
@@ -125,8 +125,8 @@
   caller: CallerRequest,
   refusal: refusals.Refusal,
 ): void {
-  caller.entry.outcome = `${refusal.kind} (${refusal.outcome})`;
-  caller.entry.detail = refusal.detail;
+  caller.journalEntry.outcome = `${refusal.kind} (${refusal.outcome})`;
+  caller.journalEntry.detail = refusal.detail;
   context.metrics.refused(caller.account.id, refusal.kind);
   context.log.event('requestRefused', {
     request: caller.id,
@@ -138,7 +138,7 @@
 }
 
 /** Passes a sidecar's whole answer on to the caller. */
-export async function passOn(
+export async function relayResponse(
   context: EntryContext,
   caller: CallerRequest,
   sent: http.IncomingMessage,
@@ -153,7 +153,7 @@
   });
   const isWhole = await body.passBody(sent, caller.res);
   const end = isWhole ? 'done' : 'cut';
-  caller.entry.outcome = end;
+  caller.journalEntry.outcome = end;
   context.metrics.count('answers_total', {kind, end});
   const wholeMs = Date.now() - caller.startedAt;
   context.metrics.time('whole', caller.account.id, kind, wholeMs);
--- a/src/requests/entry-forward.ts
+++ b/src/requests/entry-forward.ts
@@ -14,29 +14,29 @@
 import * as refusals from './refusals';
 
 /** What is sent to whichever target is chosen. */
-export interface Forwarded {
+export interface RoutableRequest {
   readonly method: string;
   readonly path: string;
-  readonly text: Buffer | undefined;
+  readonly payload: Buffer | undefined;
   readonly routed: RoutedRequest;
   /** Targets that may take it; asked for again at each try. */
   readonly eligible: () => readonly Target[];
 }
 
 /** A target's answer that is no refusal. */
-export interface Forwarding {
+export interface ForwardedResponse {
   readonly target: Target;
   readonly res: http.IncomingMessage;
   /** Must be called once the answer has ended. */
   readonly done: () => void;
 }
 
-const MAX_TRIES = 4;
+const MAX_ATTEMPTS = 4;
 /** Between halls, one way. */
-const ONE_WAY_MS = 2;
-const NO_TARGET_RETRY_MS = 1_000;
+const ONE_WAY_DELAY_MS = 2;
+const RETRY_AFTER_MS = 1_000;
 /** Refusals after which another target may still take the request. */
-const TRY_ELSEWHERE: ReadonlySet<refusals.RefusalKind> = new Set([
+const FAILOVER_KINDS: ReadonlySet<refusals.RefusalKind> = new Set([
   'leaving',
   'overloaded',
   'resting',
@@ -49,13 +49,13 @@
 export async function forward(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
-  call: Forwarded,
-): Promise<Result<Forwarding, refusals.Refusal>> {
+  call: RoutableRequest,
+): Promise<Result<ForwardedResponse, refusals.Refusal>> {
   const tried = new Set<string>();
   const outcomes: refusals.Outcome[] = [];
   let last: refusals.Refusal | undefined;
   context.budget.noteFirstTry();
-  for (let tries = 0; tries < MAX_TRIES; tries += 1) {
+  for (let tries = 0; tries < MAX_ATTEMPTS; tries += 1) {
     const target = chooseTarget(context, caller, call, tried);
     if (target === undefined) {
       break;
@@ -71,17 +71,17 @@
     outcomes.push(attempt.error.outcome);
     // What an earlier try may have done is not undone by a later refusal.
     last = {...attempt.error, outcome: refusals.worstOutcome(outcomes)};
-    if (caller.signal.aborted || !TRY_ELSEWHERE.has(last.kind)) {
+    if (caller.signal.aborted || !FAILOVER_KINDS.has(last.kind)) {
       break;
     }
   }
-  return fail(lastWord(context, call, last));
+  return fail(finalRefusal(context, call, last));
 }
 
 /** The refusal after all tries; where all targets rest, it tells for how long. */
-function lastWord(
+function finalRefusal(
   context: entry.EntryContext,
-  call: Forwarded,
+  call: RoutableRequest,
   last: refusals.Refusal | undefined,
 ): refusals.Refusal {
   const restMs = context.targets.restMs(call.eligible());
@@ -92,8 +92,7 @@
     return {kind: 'resting', outcome, detail, retryAfterMs};
   }
   return (
-    last ??
-    refusals.notRun('no-target', 'no target is live', NO_TARGET_RETRY_MS)
+    last ?? refusals.notRun('no-target', 'no target is live', RETRY_AFTER_MS)
   );
 }
 
@@ -103,7 +102,7 @@
   caller: entry.CallerRequest,
   last: refusals.Refusal | undefined,
 ): boolean {
-  if (entry.timeLeft(caller) === 0) {
+  if (entry.remainingMs(caller) === 0) {
     return false;
   }
   if (last?.kind !== 'leaving' && !context.budget.tryDraw()) {
@@ -120,7 +119,7 @@
 function chooseTarget(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
-  call: Forwarded,
+  call: RoutableRequest,
   tried: ReadonlySet<string>,
 ): Target | undefined {
   const now = Date.now();
@@ -128,14 +127,14 @@
   const open = context.targets.awake(untried);
   const probe = open.find(t => t.health.stateAt(now) === 'probing');
   const healthy = open.filter(t => t.health.stateAt(now) === 'healthy');
-  const kept = open.find(target => target.id === returnTo(caller));
+  const kept = open.find(target => target.id === reservedTargetId(caller));
   if (kept !== undefined) {
-    note(caller, kept.id, []);
+    recordAttempt(caller, kept.id, []);
     return kept;
   }
   if (probe !== undefined && tried.size === 0) {
     probe.health.noteProbe();
-    note(caller, probe.id, []);
+    recordAttempt(caller, probe.id, []);
     return probe;
   }
   // With everything ejected, a bad target is better than none.
@@ -145,16 +144,16 @@
   }
   const candidates = usable.map(t => candidateOf(context, call, t, now));
   const decision = context.policy.choose(call.routed, candidates);
-  note(caller, decision.chosen, decision.weighed);
+  recordAttempt(caller, decision.chosen, decision.weighed);
   return usable.find(target => target.id === decision.chosen);
 }
 
 /** The target that keeps a place for a caller that comes back. */
-function returnTo(caller: entry.CallerRequest): string | undefined {
+function reservedTargetId(caller: entry.CallerRequest): string | undefined {
   return body.headerOf(caller.req, headers.RETURN_HEADER);
 }
 
-function note(
+function recordAttempt(
   caller: entry.CallerRequest,
   target: string,
   weighed: readonly {
@@ -166,18 +165,22 @@
     hallMs: number;
   }[],
 ): void {
-  caller.entry.attempts.push({target, weighed: [...weighed], result: 'open'});
+  caller.journalEntry.attempts.push({
+    target,
+    weighed: [...weighed],
+    result: 'open',
+  });
 }
 
 function candidateOf(
   context: entry.EntryContext,
-  call: Forwarded,
+  call: RoutableRequest,
   target: Target,
   now: number,
 ): Candidate {
   const {prefix} = call.routed;
   // The report was made about one way before it arrived.
-  const unseen = target.sent.since(target.loadAt - ONE_WAY_MS);
+  const unseen = target.sent.since(target.loadAt - ONE_WAY_DELAY_MS);
   return {
     id: target.id,
     group: target.serves.kind === 'model' ? target.serves.group : '',
@@ -195,10 +198,11 @@
 async function tryTarget(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
-  call: Forwarded,
+  call: RoutableRequest,
   target: Target,
-): Promise<Result<Forwarding, refusals.Refusal>> {
-  const attempt = caller.entry.attempts[caller.entry.attempts.length - 1]!;
+): Promise<Result<ForwardedResponse, refusals.Refusal>> {
+  const attempt =
+    caller.journalEntry.attempts[caller.journalEntry.attempts.length - 1]!;
   target.inFlight += 1;
   const sentAt = performance.now();
   context.targets.noteSent(target.id);
@@ -213,16 +217,16 @@
     method: call.method,
     path: call.path,
     headers: entry.forwardHeaders(context, caller),
-    body: call.text,
-    timeoutMs: entry.timeLeft(caller),
+    body: call.payload,
+    timeoutMs: entry.remainingMs(caller),
     signal: caller.signal,
   });
   if (!sent.ok) {
     done();
     attempt.result = sent.error.kind;
-    return fail(onLost(context, caller, target, sent.error));
+    return fail(handleCallError(context, caller, target, sent.error));
   }
-  entry.learnFrom(context, target, target.address, sent.value);
+  entry.applyResponseHeaders(context, target, target.address, sent.value);
   const refusal = await entry.readRefusal(sent.value);
   if (refusal !== undefined) {
     done();
@@ -236,7 +240,7 @@
   return ok({target, res: sent.value, done});
 }
 
-function onLost(
+function handleCallError(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
   target: Target,
@@ -250,18 +254,14 @@
       return refusals.unknownOutcome(
         'deadline-exceeded',
         'the target did not answer in time',
-        NO_TARGET_RETRY_MS,
+        RETRY_AFTER_MS,
       );
     case 'no-connection':
       noteFailure(context, caller, target);
-      return refusals.notRun('target-failed', err.kind, NO_TARGET_RETRY_MS);
+      return refusals.notRun('target-failed', err.kind, RETRY_AFTER_MS);
     case 'connection-lost':
       noteFailure(context, caller, target);
-      return refusals.unknownOutcome(
-        'target-failed',
-        err.kind,
-        NO_TARGET_RETRY_MS,
-      );
+      return refusals.unknownOutcome('target-failed', err.kind, RETRY_AFTER_MS);
   }
 }
 
@@ -275,7 +275,7 @@
     context.targets.markLeaving(target.id);
     context.log.event('targetLeaving', {target: target.id, by: 'refusal'});
   } else if (refusal.kind === 'resting') {
-    const {retryAfterMs = NO_TARGET_RETRY_MS} = refusal;
+    const {retryAfterMs = RETRY_AFTER_MS} = refusal;
     if (context.targets.askRest(target.id, retryAfterMs)) {
       const fields = {target: target.id, restMs: retryAfterMs};
       context.log.event('targetResting', fields);
--- a/src/requests/entry-face.ts
+++ b/src/requests/entry-handler.ts
@@ -5,33 +5,38 @@
 import type {RenderedAccount} from '../configuration/types';
 import * as body from '../http/body';
 import {Result, fail, ok} from '../result';
-import * as assistant from './assistant';
-import * as entryAssistant from './entry-assistant';
+import * as assistant from './chat-request';
+import * as entryAssistant from './entry-chat';
 import * as entry from './entry-context';
 import * as entryService from './entry-service';
 import * as headers from './headers';
 import {AccountLimits} from './limits';
 import * as refusals from './refusals';
-import * as answers from './answers';
+import * as answers from './responses';
 
 const KEYS_PATH = '/v1/request-keys';
-const MAX_KEYS = 100;
-const NO_OWNER_RETRY_MS = 2_000;
-const BEARER = /^Bearer ([\x21-\x7e]{1,256})$/i;
+const MAX_KEYS_PER_REQUEST = 100;
+const NO_OWNER_RETRY_AFTER_MS = 2_000;
+const BEARER_PATTERN = /^Bearer ([\x21-\x7e]{1,256})$/i;
 
 const keysRequestSchema = v.object({
   service: v.string(),
   count: v.optional(
-    v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(MAX_KEYS)),
+    v.pipe(
+      v.number(),
+      v.integer(),
+      v.minValue(1),
+      v.maxValue(MAX_KEYS_PER_REQUEST),
+    ),
     1,
   ),
 });
 
 /** A request with its body read, before limits are applied. */
-interface Parsed {
+interface ParsedRequest {
   readonly timeoutMs: number;
   /** What is being asked for, in a word. */
-  readonly what: string;
+  readonly summary: string;
   readonly run: (caller: entry.CallerRequest) => Promise<void>;
   /** How the entry itself refuses it. */
   readonly refuse: (
@@ -40,7 +45,7 @@
   ) => Promise<void>;
 }
 
-export class EntryFace {
+export class EntryHandler {
   private open = 0;
 
   constructor(
@@ -54,7 +59,7 @@
   }
 
   /** Answers one request of a caller. */
-  async answer(
+  async handle(
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
@@ -81,10 +86,10 @@
     res: http.ServerResponse,
     id: string,
     account: RenderedAccount,
-    parsed: Parsed,
+    parsed: ParsedRequest,
   ): Promise<void> {
     const timeoutText = body.headerOf(req, headers.TIMEOUT_HEADER);
-    const timeoutMs = headers.readTimeout(timeoutText, parsed.timeoutMs);
+    const timeoutMs = headers.parseTimeoutMs(timeoutText, parsed.timeoutMs);
     if (timeoutMs === undefined) {
       const detail = `${headers.TIMEOUT_HEADER}: milliseconds`;
       this.refuseEarly(req, res, id, refusals.notRun('bad-request', detail));
@@ -104,10 +109,10 @@
       account,
       startedAt: now,
       deadlineAt: now + timeoutMs,
-      entry: this.context.journal.start(id, account.id, parsed.what),
+      journalEntry: this.context.journal.start(id, account.id, parsed.summary),
       signal: abort.signal,
     };
-    const refusal = this.limits.enter(account.id, account.parameters, now);
+    const refusal = this.limits.acquire(account.id, account.parameters, now);
     if (refusal !== undefined) {
       await parsed.refuse(caller, refusal);
       return;
@@ -115,18 +120,20 @@
     try {
       await parsed.run(caller);
     } finally {
-      this.limits.leave(account.id);
+      this.limits.release(account.id);
     }
   }
 
   private authenticate(
     req: http.IncomingMessage,
   ): Result<RenderedAccount, refusals.Refusal> {
-    const match = BEARER.exec(body.headerOf(req, 'authorization') ?? '');
+    const match = BEARER_PATTERN.exec(
+      body.headerOf(req, 'authorization') ?? '',
+    );
     if (match === null) {
       return fail(refusals.notRun('unauthorized', 'no bearer token'));
     }
-    const digest = headers.digest(match[1]!);
+    const digest = headers.sha256Hex(match[1]!);
     const account = this.context.follower.replica.accountOfDigest(digest);
     const held = account?.keyDigests.some(own =>
       headers.equalDigests(own, digest),
@@ -139,7 +146,7 @@
   private async parse(
     req: http.IncomingMessage,
     account: RenderedAccount,
-  ): Promise<Result<Parsed, refusals.Refusal>> {
+  ): Promise<Result<ParsedRequest, refusals.Refusal>> {
     const url = req.url ?? '/';
     const path = url.split('?')[0]!;
     if (path === assistant.CHAT_PATH) {
@@ -154,13 +161,15 @@
   private async parseChat(
     req: http.IncomingMessage,
     account: RenderedAccount,
-  ): Promise<Result<Parsed, refusals.Refusal>> {
+  ): Promise<Result<ParsedRequest, refusals.Refusal>> {
     const lastEventId = body.headerOf(req, 'last-event-id');
     if (lastEventId !== undefined) {
       req.resume();
       return ok(
-        this.simple(account.parameters.timeoutMs, 'reconnect', caller =>
-          entryAssistant.reconnect(this.context, caller, lastEventId),
+        this.withPlainRefusal(
+          account.parameters.timeoutMs,
+          'reconnect',
+          caller => entryAssistant.reconnect(this.context, caller, lastEventId),
         ),
       );
     }
@@ -169,9 +178,9 @@
     }
     const read = await body.readBody(req, headers.MAX_REQUEST_BYTES);
     if (!read.ok) {
-      return fail(answers.refuseBody(read.error));
+      return fail(answers.bodyRefusal(read.error));
     }
-    const chat = assistant.readChat(read.value);
+    const chat = assistant.parseChat(read.value);
     if (!chat.ok) {
       return chat;
     }
@@ -184,7 +193,7 @@
     const classTimeoutMs = template.classes[model.class]!.timeoutMs;
     const timeoutMs = Math.min(classTimeoutMs, parameters.timeoutMs);
     return ok(
-      this.simple(timeoutMs, `chat ${chat.value.model}`, caller =>
+      this.withPlainRefusal(timeoutMs, `chat ${chat.value.model}`, caller =>
         entryAssistant.runChat(this.context, caller, chat.value, read.value),
       ),
     );
@@ -193,11 +202,11 @@
   private async parseKeys(
     req: http.IncomingMessage,
     account: RenderedAccount,
-  ): Promise<Result<Parsed, refusals.Refusal>> {
+  ): Promise<Result<ParsedRequest, refusals.Refusal>> {
     const limit = 4_096;
     const read = await body.readJson(req, limit);
     if (!read.ok) {
-      return fail(answers.refuseBody(read.error));
+      return fail(answers.bodyRefusal(read.error));
     }
     const parsed = v.safeParse(keysRequestSchema, read.value);
     if (!parsed.success) {
@@ -210,19 +219,19 @@
       return fail(refusals.notRun('not-found', `no service ${service}`));
     }
     return ok(
-      this.simple(settings.timeoutMs, 'request keys', caller =>
-        this.mintKeys(caller, service, count, settings.slots),
+      this.withPlainRefusal(settings.timeoutMs, 'request keys', caller =>
+        this.sendKeys(caller, service, count, settings.slots),
       ),
     );
   }
 
-  private async mintKeys(
+  private async sendKeys(
     caller: entry.CallerRequest,
     service: string,
     count: number,
     slots: number,
   ): Promise<void> {
-    const minted = await this.context.claims.mint(
+    const minted = await this.context.owners.mintKeys(
       service,
       count,
       slots,
@@ -233,12 +242,12 @@
       const refusal = refusals.notRun(
         'no-target',
         'no live owner is known',
-        NO_OWNER_RETRY_MS,
+        NO_OWNER_RETRY_AFTER_MS,
       );
       entry.refuseCaller(this.context, caller, refusal);
       return;
     }
-    caller.entry.outcome = 'done';
+    caller.journalEntry.outcome = 'done';
     body.sendJson(caller.res, 200, {keys: minted});
   }
 
@@ -246,7 +255,7 @@
     req: http.IncomingMessage,
     account: RenderedAccount,
     url: string,
-  ): Promise<Result<Parsed, refusals.Refusal>> {
+  ): Promise<Result<ParsedRequest, refusals.Refusal>> {
     const slash = url.indexOf('/', 1);
     const service = url.slice(1, slash < 0 ? undefined : slash);
     const settings = account.template.services[service];
@@ -256,7 +265,7 @@
     }
     const read = await body.readBody(req, headers.MAX_REQUEST_BYTES);
     if (!read.ok) {
-      return fail(answers.refuseBody(read.error));
+      return fail(answers.bodyRefusal(read.error));
     }
     const call: entryService.ServiceCall = {
       service,
@@ -264,22 +273,26 @@
       method: req.method ?? 'GET',
       path: url.slice(slash),
       key: body.headerOf(req, headers.KEY_HEADER),
-      text: read.value.length > 0 ? read.value : undefined,
+      payload: read.value.length > 0 ? read.value : undefined,
     };
     const {parameters} = account;
     return ok({
       timeoutMs: Math.min(settings.timeoutMs, parameters.timeoutMs),
-      what: `${call.method} ${url.split('?')[0]}`,
+      summary: `${call.method} ${url.split('?')[0]}`,
       run: caller => entryService.runService(this.context, caller, call),
       refuse: (caller, refusal) =>
         entryService.refuseKeyed(this.context, caller, call, refusal),
     });
   }
 
-  private simple(timeoutMs: number, what: string, run: Parsed['run']): Parsed {
+  private withPlainRefusal(
+    timeoutMs: number,
+    summary: string,
+    run: ParsedRequest['run'],
+  ): ParsedRequest {
     return {
       timeoutMs,
-      what,
+      summary,
       run,
       refuse: async (caller, refusal) =>
         entry.refuseCaller(this.context, caller, refusal),
@@ -296,6 +309,10 @@
     this.context.metrics.refused('', refusal.kind);
     // The rest of a body that is not wanted is not read either.
     res.setHeader('connection', 'close');
-    refusals.sendRefusal(res, refusals.withoutOwner(req, refusal), id);
+    refusals.sendRefusal(
+      res,
+      refusals.withUnconfirmedOutcome(req, refusal),
+      id,
+    );
   }
 }
--- a/src/requests/entry-service.ts
+++ b/src/requests/entry-service.ts
@@ -1,6 +1,6 @@
 /** An entry's side of plain services: any target, or the key's owner. */
 import type * as http from 'node:http';
-import * as claims from '../claims/app';
+import * as claims from '../claims/rpc-methods';
 import * as keys from '../claims/keys';
 import type {Service} from '../configuration/types';
 import {isAddress} from '../http/address';
@@ -21,13 +21,13 @@
   /** Path and query as the target sees them. */
   readonly path: string;
   readonly key: string | undefined;
-  readonly text: Buffer | undefined;
+  readonly payload: Buffer | undefined;
 }
 
 /** How long an owner is looked for before the caller is told to come back. */
-const OWNER_PATIENCE_MS = 2_000;
-const OWNER_PAUSE_MS = 100;
-const OWNER_RETRY_MS = 2_000;
+const OWNER_TIMEOUT_MS = 2_000;
+const OWNER_RETRY_INTERVAL_MS = 100;
+const OWNER_RETRY_AFTER_MS = 2_000;
 const BURN_TIMEOUT_MS = 500;
 
 /** Runs a call to a plain service. */
@@ -37,7 +37,7 @@
   call: ServiceCall,
 ): Promise<void> {
   if (isRepeatable(call.settings, call.method, call.path)) {
-    await runAnywhere(context, caller, call);
+    await runOnAnyTarget(context, caller, call);
     return;
   }
   if (call.key === undefined) {
@@ -46,7 +46,7 @@
     entry.refuseCaller(context, caller, refusal);
     return;
   }
-  const key = keys.readKey(call.key);
+  const key = keys.parseKey(call.key);
   if (key === undefined) {
     const refusal = refusals.notRun('bad-key', 'not a UUIDv7');
     entry.refuseCaller(context, caller, refusal);
@@ -57,7 +57,7 @@
     entry.refuseCaller(context, caller, sent.error);
     return;
   }
-  await entry.passOn(context, caller, sent.value, 'service');
+  await entry.relayResponse(context, caller, sent.value, 'service');
 }
 
 /**
@@ -70,7 +70,7 @@
   call: ServiceCall,
   refusal: refusals.Refusal,
 ): Promise<void> {
-  const key = keys.readKey(call.key ?? '');
+  const key = keys.parseKey(call.key ?? '');
   const isFree =
     key === undefined || isRepeatable(call.settings, call.method, call.path);
   const honest = isFree
@@ -88,7 +88,7 @@
   refusal: refusals.Refusal,
 ): Promise<refusals.Refusal> {
   const {slots} = call.settings;
-  const owner = await context.claims.findOwner(call.service, key, slots);
+  const owner = await context.owners.findOwner(call.service, key, slots);
   if (owner === undefined) {
     return {...refusal, outcome: 'unknown'};
   }
@@ -110,7 +110,7 @@
   }
 }
 
-async function runAnywhere(
+async function runOnAnyTarget(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
   call: ServiceCall,
@@ -118,7 +118,7 @@
   const sent = await forwarding.forward(context, caller, {
     method: call.method,
     path: `/${call.service}${call.path}`,
-    text: call.text,
+    payload: call.payload,
     routed: {
       account: caller.account.id,
       prefix: '',
@@ -132,7 +132,7 @@
     return;
   }
   try {
-    await entry.passOn(context, caller, sent.value.res, 'service');
+    await entry.relayResponse(context, caller, sent.value.res, 'service');
   } finally {
     sent.value.done();
   }
@@ -149,12 +149,12 @@
   call: ServiceCall,
   key: keys.RequestKey,
 ): Promise<Result<http.IncomingMessage, refusals.Refusal>> {
-  const giveUpAt = Math.min(Date.now() + OWNER_PATIENCE_MS, caller.deadlineAt);
+  const giveUpAt = Math.min(Date.now() + OWNER_TIMEOUT_MS, caller.deadlineAt);
   let hint: string | undefined;
   let last: refusals.Refusal | undefined;
   for (;;) {
     const {slots} = call.settings;
-    const owner = await context.claims.findOwner(call.service, key, slots);
+    const owner = await context.owners.findOwner(call.service, key, slots);
     const address = hint ?? owner?.address;
     hint = undefined;
     if (address !== undefined) {
@@ -163,20 +163,20 @@
         return attempt;
       }
       last = attempt.error;
-      hint = hintOf(attempt.error, address);
+      hint = ownerAddressIn(attempt.error, address);
     }
     if (Date.now() >= giveUpAt || caller.signal.aborted) {
-      return fail(await lastWord(context, caller, call, key, last));
+      return fail(await finalRefusal(context, caller, call, key, last));
     }
     if (hint === undefined) {
-      await pause(random.jitter(OWNER_PAUSE_MS));
-      await context.claims.refresh(call.service);
+      await sleep(random.jitter(OWNER_RETRY_INTERVAL_MS));
+      await context.owners.refresh(call.service);
     }
   }
 }
 
 /** The last word after all tries: what the owner can still vouch for. */
-async function lastWord(
+async function finalRefusal(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
   call: ServiceCall,
@@ -188,7 +188,7 @@
     refusals.unknownOutcome(
       'owner-unreachable',
       'nobody is known to own the key',
-      OWNER_RETRY_MS,
+      OWNER_RETRY_AFTER_MS,
     );
   return burn(context, caller, call, key, refusal);
 }
@@ -201,7 +201,10 @@
 }
 
 /** A sidecar that is not the owner names the one that is, if it knows. */
-function hintOf(refusal: refusals.Refusal, asked: string): string | undefined {
+function ownerAddressIn(
+  refusal: refusals.Refusal,
+  asked: string,
+): string | undefined {
   const address = refusal.detail;
   return refusal.kind === 'not-owner' && isAddress(address) && address !== asked
     ? address
@@ -215,7 +218,7 @@
   address: string,
 ): Promise<Result<http.IncomingMessage, refusals.Refusal>> {
   const attempt = {target: address, weighed: [], result: 'open'};
-  caller.entry.attempts.push(attempt);
+  caller.journalEntry.attempts.push(attempt);
   const sent = await httpClient.send(context.agent, {
     address,
     method: call.method,
@@ -224,8 +227,8 @@
       ...entry.forwardHeaders(context, caller),
       [headers.KEY_HEADER]: call.key,
     },
-    body: call.text,
-    timeoutMs: entry.timeLeft(caller),
+    body: call.payload,
+    timeoutMs: entry.remainingMs(caller),
     signal: caller.signal,
   });
   if (!sent.ok) {
@@ -235,16 +238,16 @@
       refusals.unknownOutcome(
         isLate ? 'deadline-exceeded' : 'owner-unreachable',
         `the owner: ${sent.error.kind}`,
-        OWNER_RETRY_MS,
+        OWNER_RETRY_AFTER_MS,
       ),
     );
   }
-  entry.learnFrom(context, undefined, address, sent.value);
+  entry.applyResponseHeaders(context, undefined, address, sent.value);
   const refusal = await entry.readRefusal(sent.value);
   attempt.result = refusal?.kind ?? `status ${sent.value.statusCode}`;
   return refusal === undefined ? ok(sent.value) : fail(refusal);
 }
 
-function pause(milliseconds: number): Promise<void> {
+function sleep(milliseconds: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, milliseconds));
 }
--- a/src/requests/event-stream.ts
+++ b/src/requests/event-stream.ts
@@ -6,12 +6,12 @@
 import type * as http from 'node:http';
 import {createParser} from 'eventsource-parser';
 import * as body from '../http/body';
-import * as sequence from './sequence';
+import * as sequence from './reorder-buffer';
 
 /** The data of the event that ends a whole stream. */
-export const DONE = '[DONE]';
-const GAP_PATIENCE_MS = 500;
-const REQUEST_ID = /^[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}$/;
+export const DONE_DATA = '[DONE]';
+const GAP_TIMEOUT_MS = 500;
+const REQUEST_ID_PATTERN = /^[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}$/;
 const MAX_EVENT_BYTES = 1024 * 1024;
 
 /** How reading a connection ended. */
@@ -50,7 +50,7 @@
 ): {target: string; request: string} | undefined {
   const dot = name.lastIndexOf('.');
   const request = name.slice(dot + 1);
-  return dot > 0 && REQUEST_ID.test(request)
+  return dot > 0 && REQUEST_ID_PATTERN.test(request)
     ? {target: name.slice(0, dot), request}
     : undefined;
 }
@@ -59,7 +59,7 @@
 export async function readEvents(
   res: http.IncomingMessage,
   name: string,
-  gate: sequence.SequenceGate<string>,
+  gate: sequence.ReorderBuffer<string>,
   deliver: Deliver,
 ): Promise<StreamEnd> {
   let queue: RawEvent[] = [];
@@ -76,14 +76,14 @@
       const events = queue;
       queue = [];
       for (const event of events) {
-        const end = await take(event, name, gate, deliver);
+        const end = await handleEvent(event, name, gate, deliver);
         if (end !== undefined) {
           return end;
         }
       }
       clearTimeout(gapTimer);
       gapTimer = gate.hasGap
-        ? setTimeout(() => res.destroy(), GAP_PATIENCE_MS)
+        ? setTimeout(() => res.destroy(), GAP_TIMEOUT_MS)
         : undefined;
     }
   } catch {
@@ -95,10 +95,10 @@
   return {kind: 'broken'};
 }
 
-async function take(
+async function handleEvent(
   event: RawEvent,
   name: string,
-  gate: sequence.SequenceGate<string>,
+  gate: sequence.ReorderBuffer<string>,
   deliver: Deliver,
 ): Promise<StreamEnd | undefined> {
   if (event.event === 'error') {
@@ -114,7 +114,7 @@
   }
   for (const ready of offer.kind === 'deliver' ? offer.events : []) {
     await deliver(ready.sequence, ready.event);
-    if (ready.event === DONE) {
+    if (ready.event === DONE_DATA) {
       return {kind: 'done'};
     }
   }
--- a/src/requests/fair-queue.ts
+++ b/src/requests/fair-queue.ts
@@ -6,7 +6,7 @@
  */
 
 /** What the queue needs to know of an entry. */
-export interface Queued {
+export interface QueueItem {
   readonly account: string;
   readonly weight: number;
   /** A lower number is served first. */
@@ -15,82 +15,82 @@
   readonly cost: number;
 }
 
-interface Slot<T extends Queued> {
+interface QueueEntry<T extends QueueItem> {
   readonly item: T;
   readonly start: number;
   readonly finish: number;
   readonly order: number;
 }
 
-export class FairQueue<T extends Queued> {
-  private readonly slots: Slot<T>[] = [];
+export class FairQueue<T extends QueueItem> {
+  private readonly entries: QueueEntry<T>[] = [];
   private readonly lastFinish = new Map<string, number>();
   private virtualTime = 0;
-  private pushed = 0;
+  private pushCount = 0;
 
   get size(): number {
-    return this.slots.length;
+    return this.entries.length;
   }
 
   /** Queues an entry. */
   push(item: T): void {
-    const slot = this.place(item);
+    const slot = this.schedule(item);
     this.lastFinish.set(item.account, slot.finish);
-    this.pushed += 1;
-    this.slots.splice(this.positionOf(slot), 0, slot);
+    this.pushCount += 1;
+    this.entries.splice(this.positionOf(slot), 0, slot);
   }
 
   /** How many queued entries would be served before this one. */
   countAhead(item: T): number {
-    return this.positionOf(this.place(item));
+    return this.positionOf(this.schedule(item));
   }
 
   /** Takes the entry that is next. */
   shift(): T | undefined {
-    const slot = this.slots.shift();
+    const slot = this.entries.shift();
     if (slot === undefined) {
       this.lastFinish.clear();
       this.virtualTime = 0;
       return undefined;
     }
     this.virtualTime = Math.max(this.virtualTime, slot.start);
-    this.forgetIdle();
+    this.forgetIdleAccounts();
     return slot.item;
   }
 
   /** The entry that would be served last. */
   last(): T | undefined {
-    return this.slots[this.slots.length - 1]?.item;
+    return this.entries[this.entries.length - 1]?.item;
   }
 
   /** Takes an entry out. False where it is not queued. */
   remove(item: T): boolean {
-    const at = this.slots.findIndex(slot => slot.item === item);
+    const at = this.entries.findIndex(slot => slot.item === item);
     if (at < 0) {
       return false;
     }
-    this.slots.splice(at, 1);
+    this.entries.splice(at, 1);
     return true;
   }
 
   /** All entries, next first. */
   items(): T[] {
-    return this.slots.map(slot => slot.item);
+    return this.entries.map(slot => slot.item);
   }
 
-  private place(item: T): Slot<T> {
+  private schedule(item: T): QueueEntry<T> {
     const after = this.lastFinish.get(item.account) ?? 0;
     const start = Math.max(this.virtualTime, after);
     const finish = start + item.cost / item.weight;
-    return {item, start, finish, order: this.pushed};
+    return {item, start, finish, order: this.pushCount};
   }
 
-  private positionOf(slot: Slot<T>): number {
+  private positionOf(slot: QueueEntry<T>): number {
     let low = 0;
-    let high = this.slots.length;
+    let high = this.entries.length;
     while (low < high) {
       const middle = (low + high) >> 1;
-      if (isBefore(slot, this.slots[middle]!)) {
+      if (isBefore(slot, this.entries[middle]!)) {
         high = middle;
       } else {
         low = middle + 1;
@@ -100,7 +100,7 @@
   }
 
   /** An account whose last entry is behind has no debt to remember. */
-  private forgetIdle(): void {
+  private forgetIdleAccounts(): void {
     for (const [account, finish] of this.lastFinish) {
       if (finish <= this.virtualTime) {
         this.lastFinish.delete(account);
@@ -109,7 +109,10 @@
   }
 }
 
-function isBefore<T extends Queued>(a: Slot<T>, b: Slot<T>): boolean {
+function isBefore<T extends QueueItem>(
+  a: QueueEntry<T>,
+  b: QueueEntry<T>,
+): boolean {
   if (a.item.priority !== b.item.priority) {
     return a.item.priority < b.item.priority;
   }
--- a/src/requests/headers.ts
+++ b/src/requests/headers.ts
@@ -22,10 +22,10 @@
 /** Cap on the body of a request. */
 export const MAX_REQUEST_BYTES = 4 * 1024 * 1024;
 
-const BOUND_DIGITS = 16;
+const ACCOUNT_DIGEST_DIGITS = 16;
 
 /** SHA-256 in hex. */
-export function digest(text: string | Buffer): string {
+export function sha256Hex(text: string | Buffer): string {
   return createHash('sha256').update(text).digest('hex');
 }
 
@@ -41,11 +41,11 @@
  * account's resume finds nothing, also after a sidecar lost its memory.
  */
 export function streamNameOf(request: string, account: string): string {
-  return `${request}-${digest(account).slice(0, BOUND_DIGITS)}`;
+  return `${request}-${sha256Hex(account).slice(0, ACCOUNT_DIGEST_DIGITS)}`;
 }
 
 /** A timeout in milliseconds, no more than `limit`; undefined if malformed. */
-export function readTimeout(
+export function parseTimeoutMs(
   text: string | undefined,
   limit: number,
 ): number | undefined {
--- a/src/requests/limits.ts
+++ b/src/requests/limits.ts
@@ -11,9 +11,9 @@
   readonly concurrent: number;
 }
 
-interface Bucket {
+interface TokenBucket {
   tokens: number;
-  at: number;
+  refilledAt: number;
   running: number;
 }
 
@@ -21,13 +21,13 @@
 const MAX_BUCKETS = 10_000;
 
 export class AccountLimits {
-  private readonly buckets = new Map<string, Bucket>();
+  private readonly buckets = new Map<string, TokenBucket>();
 
   /** `share` is this entry's part of every limit, in (0, 1]. */
   constructor(private readonly share: () => number) {}
 
   /** Lets a request in, or refuses it; `leave` must follow an entry. */
-  enter(
+  acquire(
     account: string,
     limit: AccountLimit,
     now: number,
@@ -55,30 +55,34 @@
     return undefined;
   }
 
-  leave(account: string): void {
+  release(account: string): void {
     const bucket = this.buckets.get(account);
     if (bucket !== undefined) {
       bucket.running = Math.max(0, bucket.running - 1);
     }
   }
 
-  private refill(account: string, limit: AccountLimit, now: number): Bucket {
+  private refill(
+    account: string,
+    limit: AccountLimit,
+    now: number,
+  ): TokenBucket {
     const burst = Math.max(1, limit.burst * this.share());
     const held = this.buckets.get(account);
     if (held === undefined) {
-      const bucket = {tokens: burst, at: now, running: 0};
+      const bucket = {tokens: burst, refilledAt: now, running: 0};
       this.buckets.set(account, bucket);
-      this.forgetIdle();
+      this.evictIdle();
       return bucket;
     }
     const rate = limit.requestsPerSecond * this.share();
-    const gained = ((now - held.at) / SECOND_MS) * rate;
+    const gained = ((now - held.refilledAt) / SECOND_MS) * rate;
     held.tokens = Math.min(burst, held.tokens + Math.max(gained, 0));
-    held.at = now;
+    held.refilledAt = now;
     return held;
   }
 
-  private forgetIdle(): void {
+  private evictIdle(): void {
     for (const [account, bucket] of this.buckets) {
       if (this.buckets.size <= MAX_BUCKETS) {
         return;
--- a/src/requests/refusals.ts
+++ b/src/requests/refusals.ts
@@ -13,7 +13,7 @@
   readonly detail: string;
   readonly retryAfterMs?: number;
   /** The target that keeps a place for the caller's return. */
-  readonly returnTo?: string;
+  readonly reservedTargetId?: string;
 }
 
 interface RefusalEntry {
@@ -95,7 +95,7 @@
  * A refusal by a process that can't ask the key's owner. Of a call with a key
  * it can't say `not-run`: an earlier copy may have run.
  */
-export function withoutOwner(
+export function withUnconfirmedOutcome(
   req: http.IncomingMessage,
   refusal: Refusal,
 ): Refusal {
@@ -106,7 +106,7 @@
 }
 
 /** The problem document of a refusal. Source: RFC 9457. */
-export function problemOf(refusal: Refusal, requestId: string) {
+export function problemDocument(refusal: Refusal, requestId: string) {
   const entry = REFUSALS[refusal.kind];
   return {
     type: `/problems/${refusal.kind}`,
@@ -135,13 +135,13 @@
     const seconds = Math.ceil(refusal.retryAfterMs / SECOND_MS);
     headers['retry-after'] = String(Math.max(seconds, 1));
   }
-  if (refusal.returnTo !== undefined) {
-    headers[RETURN_HEADER] = refusal.returnTo;
+  if (refusal.reservedTargetId !== undefined) {
+    headers[RETURN_HEADER] = refusal.reservedTargetId;
   }
   body.sendJson(
     res,
     REFUSALS[refusal.kind].status,
-    problemOf(refusal, requestId),
+    problemDocument(refusal, requestId),
     headers,
   );
 }
--- a/src/requests/sequence.ts
+++ b/src/requests/reorder-buffer.ts
@@ -4,63 +4,63 @@
  */
 
 /** What became of an event that was offered. */
-export type Offer<T> =
-  | {readonly kind: 'deliver'; readonly events: readonly Sequenced<T>[]}
+export type OfferResult<T> =
+  | {readonly kind: 'deliver'; readonly events: readonly SequencedEvent<T>[]}
   | {readonly kind: 'double'}
   | {readonly kind: 'waiting'}
   /** Too far ahead: the missing events have to be asked for. */
   | {readonly kind: 'gap'; readonly missing: number};
 
 /** An event with its number; the first is 1. */
-export interface Sequenced<T> {
+export interface SequencedEvent<T> {
   readonly sequence: number;
   readonly event: T;
 }
 
 /** Events held back while one is missing. */
-export const WINDOW = 32;
+export const WINDOW_EVENTS = 32;
 
-export class SequenceGate<T> {
-  private readonly early = new Map<number, T>();
-  private last: number;
+export class ReorderBuffer<T> {
+  private readonly pending = new Map<number, T>();
+  private lastDelivered: number;
 
   /** `after`: the last number that was already delivered. */
   constructor(after = 0) {
-    this.last = after;
+    this.lastDelivered = after;
   }
 
   /** The last number delivered. */
   get delivered(): number {
-    return this.last;
+    return this.lastDelivered;
   }
 
   /** True while early events wait for a missing one. */
   get hasGap(): boolean {
-    return this.early.size > 0;
+    return this.pending.size > 0;
   }
 
-  offer(sequence: number, event: T): Offer<T> {
-    if (sequence <= this.last || this.early.has(sequence)) {
+  offer(sequence: number, event: T): OfferResult<T> {
+    if (sequence <= this.lastDelivered || this.pending.has(sequence)) {
       return {kind: 'double'};
     }
-    if (sequence > this.last + WINDOW) {
-      return {kind: 'gap', missing: this.last + 1};
+    if (sequence > this.lastDelivered + WINDOW_EVENTS) {
+      return {kind: 'gap', missing: this.lastDelivered + 1};
     }
-    this.early.set(sequence, event);
+    this.pending.set(sequence, event);
     const events = this.takeReady();
     return events.length > 0 ? {kind: 'deliver', events} : {kind: 'waiting'};
   }
 
-  private takeReady(): Sequenced<T>[] {
-    const events: Sequenced<T>[] = [];
+  private takeReady(): SequencedEvent<T>[] {
+    const events: SequencedEvent<T>[] = [];
     for (;;) {
-      const sequence = this.last + 1;
-      const event = this.early.get(sequence);
+      const sequence = this.lastDelivered + 1;
+      const event = this.pending.get(sequence);
       if (event === undefined) {
         return events;
       }
-      this.early.delete(sequence);
-      this.last = sequence;
+      this.pending.delete(sequence);
+      this.lastDelivered = sequence;
       events.push({sequence, event});
     }
   }
--- a/src/requests/answers.ts
+++ b/src/requests/responses.ts
@@ -3,14 +3,14 @@
 import * as body from '../http/body';
 import * as targets from '../targets/types';
 import * as refusals from './refusals';
-import type {Incoming, SidecarContext} from './sidecar-context';
+import type {IncomingRequest, SidecarContext} from './sidecar-context';
 
 const LEAVING_RETRY_MS = 1_000;
 
 /** Headers of every answer of a sidecar that is no refusal. */
-export function ownHeaders(
+export function sidecarHeaders(
   context: SidecarContext,
-  incoming: Incoming,
+  incoming: IncomingRequest,
 ): http.OutgoingHttpHeaders {
   return {
     [refusals.REQUEST_HEADER]: incoming.id,
@@ -20,14 +20,14 @@
 }
 
 /** Passes a target's answer on through its sidecar. */
-export async function passOn(
+export async function relayResponse(
   context: SidecarContext,
-  incoming: Incoming,
+  incoming: IncomingRequest,
   sent: http.IncomingMessage,
 ): Promise<void> {
   incoming.res.writeHead(sent.statusCode ?? 502, {
     ...contentHeaders(sent),
-    ...ownHeaders(context, incoming),
+    ...sidecarHeaders(context, incoming),
   });
   await body.passBody(sent, incoming.res);
 }
@@ -35,7 +35,7 @@
 /** A sidecar's refusal, as the final answer. */
 export function refuse(
   context: SidecarContext,
-  incoming: Incoming,
+  incoming: IncomingRequest,
   refusal: refusals.Refusal,
 ): void {
   const load = targets.printLoad(context.load());
@@ -43,12 +43,18 @@
     incoming.res.setHeader(targets.LOAD_HEADER, load);
   }
   context.metrics.refused(incoming.account, refusal.kind);
-  const returnTo = keepsPlace(refusal) ? context.targetId : undefined;
-  refusals.sendRefusal(incoming.res, {...refusal, returnTo}, incoming.id);
+  const reservedTargetId = hasReservation(refusal)
+    ? context.targetId
+    : undefined;
+  refusals.sendRefusal(
+    incoming.res,
+    {...refusal, reservedTargetId},
+    incoming.id,
+  );
 }
 
 /** Whether the admission keeps a place for the caller's return. */
-function keepsPlace(refusal: refusals.Refusal): boolean {
+function hasReservation(refusal: refusals.Refusal): boolean {
   return (
     refusal.kind === 'overloaded' || refusal.kind === 'deadline-unreachable'
   );
@@ -60,7 +66,7 @@
 }
 
 /** The refusal for a body that was not read. */
-export function refuseBody(err: body.BodyError): refusals.Refusal {
+export function bodyRefusal(err: body.BodyError): refusals.Refusal {
   switch (err.kind) {
     case 'body-too-large':
       return refusals.notRun(
--- a/src/requests/return-book.ts
+++ b/src/requests/retry-reservations.ts
@@ -7,23 +7,23 @@
  */
 
 /** A place that nobody came for is given up after this time. */
-const GRACE_MS = 5_000;
+const RESERVATION_GRACE_MS = 5_000;
 /** A caller may come this much before its time. */
-const EARLY_MS = 20;
+const MAX_EARLY_MS = 20;
 /** Longest time that a caller is told to stay away. */
 export const MAX_RETRY_AFTER_MS = 60_000;
 
-export class ReturnBook {
-  private readonly lines = new Map<string, number[]>();
+export class RetryReservations {
+  private readonly timesByAccount = new Map<string, number[]>();
 
   /**
    * Takes the next place in the account's line; answers its time. `soonest`
    * is when the target could serve another request at all, `spacingMs` the
    * time from one request of the account to the next.
    */
-  book(account: string, now: number, soonest: number, spacingMs: number) {
-    const line = this.lines.get(account) ?? [];
-    this.lines.set(account, line);
+  reserve(account: string, now: number, soonest: number, spacingMs: number) {
+    const line = this.timesByAccount.get(account) ?? [];
+    this.timesByAccount.set(account, line);
     const last = line[line.length - 1] ?? 0;
     const time = Math.max(soonest, last + spacingMs);
     if (time - now >= MAX_RETRY_AFTER_MS) {
@@ -34,30 +34,34 @@
   }
 
   /** True where the account had a place that is due; it is then used up. */
-  takeDue(account: string, now: number): boolean {
-    const line = this.lineOf(account, now);
-    if (line === undefined || line[0]! > now + EARLY_MS) {
+  consumeDue(account: string, now: number): boolean {
+    const line = this.unexpiredTimes(account, now);
+    if (line === undefined || line[0]! > now + MAX_EARLY_MS) {
       return false;
     }
     line.shift();
     if (line.length === 0) {
-      this.lines.delete(account);
+      this.timesByAccount.delete(account);
     }
     return true;
   }
 
   /** True while callers of the account have been told to come back. */
-  hasLine(account: string, now: number): boolean {
-    return this.lineOf(account, now) !== undefined;
+  hasAny(account: string, now: number): boolean {
+    return this.unexpiredTimes(account, now) !== undefined;
   }
 
-  private lineOf(account: string, now: number): number[] | undefined {
-    const line = this.lines.get(account);
-    while (line !== undefined && line.length > 0 && line[0]! < now - GRACE_MS) {
+  private unexpiredTimes(account: string, now: number): number[] | undefined {
+    const line = this.timesByAccount.get(account);
+    while (
+      line !== undefined &&
+      line.length > 0 &&
+      line[0]! < now - RESERVATION_GRACE_MS
+    ) {
       line.shift();
     }
     if (line?.length === 0) {
-      this.lines.delete(account);
+      this.timesByAccount.delete(account);
       return undefined;
     }
     return line;
--- a/src/requests/sidecar-assistant.ts
+++ b/src/requests/sidecar-chat.ts
@@ -5,25 +5,25 @@
 import {Result, fail, ok} from '../result';
 import * as prefixes from '../routing/prefixes';
 import type {Ticket} from './admission';
-import * as assistant from './assistant';
-import * as answers from './answers';
+import * as assistant from './chat-request';
+import * as answers from './responses';
 import * as eventStream from './event-stream';
 import * as headers from './headers';
 import * as refusals from './refusals';
-import {SequenceGate} from './sequence';
+import {ReorderBuffer} from './reorder-buffer';
 import {
-  Incoming,
+  IncomingRequest,
   SidecarContext,
   abortOnClose,
-  restRefusal,
+  cooldownRefusal,
   sendToTarget,
-  timeLeft,
+  remainingMs,
 } from './sidecar-context';
 
-const RESUME_TRIES = 3;
-const RESUME_PAUSE_MS = 100;
-const CANCEL_TIMEOUT_MS = 1_000;
-const DEFAULT_GRACE_MS = 5_000;
+const MAX_RESUME_ATTEMPTS = 3;
+const RESUME_RETRY_INTERVAL_MS = 100;
+const STREAM_CALL_TIMEOUT_MS = 1_000;
+const DEFAULT_RESUME_GRACE_MS = 5_000;
 
 /** A stream at the engine, attached to a caller's connection or not. */
 interface Session {
@@ -35,7 +35,7 @@
   graceTimer: NodeJS.Timeout | undefined;
 }
 
-export class SidecarAssistant {
+export class SidecarChat {
   private readonly sessions = new Map<string, Session>();
 
   constructor(private readonly context: SidecarContext) {}
@@ -46,19 +46,19 @@
   }
 
   /** Runs a new chat completion. */
-  async run(incoming: Incoming): Promise<void> {
+  async run(incoming: IncomingRequest): Promise<void> {
     const read = await body.readBody(incoming.req, headers.MAX_REQUEST_BYTES);
     if (!read.ok) {
-      answers.refuse(this.context, incoming, answers.refuseBody(read.error));
+      answers.refuse(this.context, incoming, answers.bodyRefusal(read.error));
       return;
     }
-    const chat = assistant.readChat(read.value);
+    const chat = assistant.parseChat(read.value);
     if (!chat.ok) {
       answers.refuse(this.context, incoming, chat.error);
       return;
     }
     const signal = abortOnClose(incoming.res);
-    const ticket = await this.enter(incoming, chat.value, signal);
+    const ticket = await this.admit(incoming, chat.value, signal);
     if (!ticket.ok) {
       answers.refuse(this.context, incoming, ticket.error);
       return;
@@ -71,16 +71,16 @@
       return;
     }
     if (answers.isEventStream(sent.value)) {
-      await this.stream(incoming, chat.value, sent.value, ticket.value);
+      await this.startStream(incoming, chat.value, sent.value, ticket.value);
       return;
     }
-    await answers.passOn(this.context, incoming, sent.value);
+    await answers.relayResponse(this.context, incoming, sent.value);
     ticket.value.release();
   }
 
   /** Goes on with a stream after the last event that the caller has. */
   async resume(
-    incoming: Incoming,
+    incoming: IncomingRequest,
     request: string,
     after: number,
   ): Promise<void> {
@@ -101,11 +101,11 @@
       );
       return;
     }
-    await this.pump(incoming, session, first, after);
+    await this.relayStream(incoming, session, first, after);
   }
 
   /** Cancels a stream for good. */
-  async cancel(incoming: Incoming, request: string): Promise<void> {
+  async cancel(incoming: IncomingRequest, request: string): Promise<void> {
     const name = headers.streamNameOf(request, incoming.account);
     const session = this.sessions.get(name);
     await this.cancelAtEngine(name);
@@ -123,30 +123,30 @@
     this.sessions.clear();
   }
 
-  private enter(
-    incoming: Incoming,
+  private admit(
+    incoming: IncomingRequest,
     chat: assistant.ChatRequest,
     signal: AbortSignal,
   ): Promise<Result<Ticket, refusals.Refusal>> {
     if (this.context.isLeaving()) {
       return Promise.resolve(fail(answers.leavingRefusal()));
     }
-    return this.context.admission.enter(
+    return this.context.admission.admit(
       {
         account: incoming.account,
         weight: incoming.weight,
         priority: incoming.priority,
         cost: 1 + prefixes.estimateTokens(chat.prompt) / 1_000,
         deadlineAt: incoming.deadlineAt,
-        isReturning: incoming.isReturning,
+        isReservedRetry: incoming.isReservedRetry,
       },
       signal,
     );
   }
 
   private async dispatch(
-    incoming: Incoming,
-    text: Buffer,
+    incoming: IncomingRequest,
+    payload: Buffer,
     signal: AbortSignal,
   ): Promise<Result<http.IncomingMessage, refusals.Refusal>> {
     const name = headers.streamNameOf(incoming.id, incoming.account);
@@ -158,19 +158,19 @@
         [refusals.REQUEST_HEADER]: incoming.id,
         [headers.STREAM_HEADER]: name,
         [headers.PRIORITY_HEADER]: String(incoming.priority),
-        [headers.TIMEOUT_HEADER]: String(Math.ceil(timeLeft(incoming))),
+        [headers.TIMEOUT_HEADER]: String(Math.ceil(remainingMs(incoming))),
       },
-      body: text,
-      timeoutMs: timeLeft(incoming),
+      body: payload,
+      timeoutMs: remainingMs(incoming),
       signal,
     });
     if (sent.ok) {
-      const rest = restRefusal(sent.value);
+      const rest = cooldownRefusal(sent.value);
       if (rest !== undefined) {
         sent.value.resume();
         return fail(rest);
       }
-      return this.checkOwn(incoming, name, sent.value);
+      return this.checkStreamName(incoming, name, sent.value);
     }
     const failed = sent.error.sent
       ? refusals.unknownOutcome('target-failed', sent.error.kind)
@@ -182,8 +182,8 @@
   }
 
   /** An answer that names another request is never passed on. */
-  private checkOwn(
-    incoming: Incoming,
+  private checkStreamName(
+    incoming: IncomingRequest,
     name: string,
     res: http.IncomingMessage,
   ): Result<http.IncomingMessage, refusals.Refusal> {
@@ -198,8 +198,8 @@
     );
   }
 
-  private async stream(
-    incoming: Incoming,
+  private async startStream(
+    incoming: IncomingRequest,
     chat: assistant.ChatRequest,
     first: http.IncomingMessage,
     ticket: Ticket,
@@ -207,19 +207,19 @@
     const name = headers.streamNameOf(incoming.id, incoming.account);
     const session = this.newSession(incoming.id, name, ticket, chat.model);
     session.attached = incoming.res;
-    await this.pump(incoming, session, first, 0);
+    await this.relayStream(incoming, session, first, 0);
   }
 
   /** Passes events on, resuming at the engine, until the end or no caller. */
-  private async pump(
-    incoming: Incoming,
+  private async relayStream(
+    incoming: IncomingRequest,
     session: Session,
     first: http.IncomingMessage,
     after: number,
   ): Promise<void> {
     const {res} = incoming;
-    this.writeStreamHead(incoming);
-    const gate = new SequenceGate<string>(after);
+    this.writeStreamHeaders(incoming);
+    const gate = new ReorderBuffer<string>(after);
     const prefix = `${this.context.targetId}.${session.request}`;
     const deliver: eventStream.Deliver = (sequence, data) =>
       eventStream.writeEvent(res, `${prefix}.${sequence}`, data);
@@ -282,12 +282,12 @@
     session: Session,
     after: number,
   ): Promise<http.IncomingMessage | undefined> {
-    for (let tries = 0; tries < RESUME_TRIES; tries += 1) {
+    for (let tries = 0; tries < MAX_RESUME_ATTEMPTS; tries += 1) {
       const sent = await httpClient.send(this.context.agent, {
         address: this.context.targetAddress,
         method: 'GET',
         path: `${assistant.STREAMS_PATH}${session.name}?after=${after}`,
-        timeoutMs: CANCEL_TIMEOUT_MS,
+        timeoutMs: STREAM_CALL_TIMEOUT_MS,
       });
       if (sent.ok && sent.value.statusCode === 200) {
         const {request} = session;
@@ -298,7 +298,9 @@
         sent.value.destroy();
         return undefined;
       }
-      await new Promise(resolve => setTimeout(resolve, RESUME_PAUSE_MS));
+      await new Promise(resolve =>
+        setTimeout(resolve, RESUME_RETRY_INTERVAL_MS),
+      );
     }
     return undefined;
   }
@@ -311,17 +313,17 @@
         address: this.context.targetAddress,
         method: 'DELETE',
         path: assistant.STREAMS_PATH + name,
-        timeoutMs: CANCEL_TIMEOUT_MS,
+        timeoutMs: STREAM_CALL_TIMEOUT_MS,
       },
       limit,
     );
   }
 
-  private writeStreamHead(incoming: Incoming): void {
+  private writeStreamHeaders(incoming: IncomingRequest): void {
     incoming.res.writeHead(200, {
       'content-type': 'text/event-stream',
       'cache-control': 'no-store',
-      ...answers.ownHeaders(this.context, incoming),
+      ...answers.sidecarHeaders(this.context, incoming),
     });
     incoming.res.flushHeaders();
   }
@@ -336,7 +338,7 @@
       request,
       name,
       ticket,
-      graceMs: this.graceOf(model),
+      graceMs: this.resumeGraceMs(model),
       attached: undefined,
       graceTimer: undefined,
     };
@@ -352,13 +354,13 @@
     }
   }
 
-  private graceOf(model: string): number {
+  private resumeGraceMs(model: string): number {
     for (const template of this.context.follower.replica.allTemplates()) {
       const found = template.models[model];
       if (found !== undefined) {
         return found.resumeGraceMs;
       }
     }
-    return DEFAULT_GRACE_MS;
+    return DEFAULT_RESUME_GRACE_MS;
   }
 }
--- a/src/requests/sidecar-context.ts
+++ b/src/requests/sidecar-context.ts
@@ -26,7 +26,7 @@
 }
 
 /** A request as the entry passed it on. */
-export interface Incoming {
+export interface IncomingRequest {
   readonly req: http.IncomingMessage;
   readonly res: http.ServerResponse;
   readonly id: string;
@@ -36,11 +36,11 @@
   /** Unix milliseconds. */
   readonly deadlineAt: number;
   /** True: the caller comes back as this target told it to. */
-  readonly isReturning: boolean;
+  readonly isReservedRetry: boolean;
 }
 
 /** Milliseconds left until the deadline. */
-export function timeLeft(incoming: Incoming): number {
+export function remainingMs(incoming: IncomingRequest): number {
   return Math.max(incoming.deadlineAt - Date.now(), 0);
 }
 
@@ -73,20 +73,20 @@
     address: targetAddress,
   });
   if (sent.ok) {
-    hear(context, sent.value, sentAt);
+    handleRetryAfter(context, sent.value, sentAt);
   }
   return sent;
 }
 
-function hear(
+function handleRetryAfter(
   context: SidecarContext,
   res: http.IncomingMessage,
   sentAt: number,
 ): void {
   const {admission, log, metrics, targetId, serves} = context;
-  const rest = readRest(res);
+  const rest = readRetryAfter(res);
   if (rest.kind === 'none') {
-    admission.noteTaken(sentAt);
+    admission.noteAccepted(sentAt);
     return;
   }
   if (rest.kind === 'unread') {
@@ -94,13 +94,13 @@
     return;
   }
   metrics.count('rests_asked_total', {service: serves.name});
-  if (admission.askRest(rest.ms)) {
+  if (admission.startCooldown(rest.ms)) {
     const service = serves.name;
     log.event('targetResting', {target: targetId, service, restMs: rest.ms});
   }
 }
 
-function readRest(res: http.IncomingMessage): retryAfter.RestAsked {
+function readRetryAfter(res: http.IncomingMessage): retryAfter.RestAsked {
   return retryAfter.readRest(res.statusCode ?? 0, res.headers);
 }
 
@@ -108,10 +108,10 @@
  * The refusal of a call that may be repeated and that the target turned away,
  * asking for rest: another target may take it. Undefined where it did not.
  */
-export function restRefusal(
+export function cooldownRefusal(
   res: http.IncomingMessage,
 ): refusals.Refusal | undefined {
-  const rest = readRest(res);
+  const rest = readRetryAfter(res);
   return rest.kind === 'rest'
     ? refusals.unknownOutcome('resting', 'the target asks for rest', rest.ms)
     : undefined;
--- a/src/requests/sidecar-service.ts
+++ b/src/requests/sidecar-service.ts
@@ -4,51 +4,51 @@
 import * as body from '../http/body';
 import type * as httpClient from '../http/client';
 import * as keys from '../claims/keys';
-import type {KeptAnswer} from '../claims/records';
-import type {KeyRefusal, RunEnd, Runs} from '../claims/runs';
+import type {StoredResponse} from '../claims/records';
+import type {KeyRefusal, RunResult, KeyedRuns} from '../claims/keyed-runs';
 import {Result, fail, ok} from '../result';
 import type {Ticket} from './admission';
 import * as headers from './headers';
 import * as refusals from './refusals';
-import * as answers from './answers';
+import * as answers from './responses';
 import {
-  Incoming,
+  IncomingRequest,
   SidecarContext,
   abortOnClose,
-  restRefusal,
+  cooldownRefusal,
   sendToTarget,
-  timeLeft,
+  remainingMs,
 } from './sidecar-context';
 
-const MAX_KEPT_ANSWER_BYTES = 64 * 1024;
+const MAX_STORED_RESPONSE_BYTES = 64 * 1024;
 const RETRY_AFTER_MS = 1_000;
 
 /** One call, with its body read. */
 interface ServiceCall {
-  readonly incoming: Incoming;
+  readonly incoming: IncomingRequest;
   readonly method: string;
   readonly path: string;
-  readonly text: Buffer;
+  readonly payload: Buffer;
 }
 
 export class SidecarService {
   constructor(
     private readonly context: SidecarContext,
-    private readonly runs: Runs,
+    private readonly runs: KeyedRuns,
     private readonly settings: () => Service | undefined,
   ) {}
 
   /** Answers a call; `path` is the one that the target sees. */
-  async run(incoming: Incoming, path: string): Promise<void> {
+  async run(incoming: IncomingRequest, path: string): Promise<void> {
     const read = await body.readBody(incoming.req, headers.MAX_REQUEST_BYTES);
     if (!read.ok) {
-      const refusal = answers.refuseBody(read.error);
-      const honest = refusals.withoutOwner(incoming.req, refusal);
+      const refusal = answers.bodyRefusal(read.error);
+      const honest = refusals.withUnconfirmedOutcome(incoming.req, refusal);
       answers.refuse(this.context, incoming, honest);
       return;
     }
     const method = incoming.req.method ?? 'GET';
-    const call: ServiceCall = {incoming, method, path, text: read.value};
+    const call: ServiceCall = {incoming, method, path, payload: read.value};
     const text = body.headerOf(incoming.req, headers.KEY_HEADER);
     if (text !== undefined && !isRepeatable(this.settings(), method, path)) {
       await this.runKeyed(call, text);
@@ -73,7 +73,7 @@
       answers.refuse(this.context, incoming, answers.leavingRefusal());
       return;
     }
-    const ticket = await this.enter(incoming, signal);
+    const ticket = await this.admit(incoming, signal);
     if (!ticket.ok) {
       answers.refuse(this.context, incoming, ticket.error);
       return;
@@ -87,14 +87,14 @@
       answers.refuse(this.context, incoming, failed);
       return;
     }
-    const rest = restRefusal(sent.value);
+    const rest = cooldownRefusal(sent.value);
     if (rest !== undefined) {
       ticket.value.release();
       sent.value.resume();
       answers.refuse(this.context, incoming, rest);
       return;
     }
-    await answers.passOn(this.context, incoming, sent.value);
+    await answers.relayResponse(this.context, incoming, sent.value);
     ticket.value.release();
   }
 
@@ -104,7 +104,7 @@
    */
   private async runKeyed(call: ServiceCall, keyText: string): Promise<void> {
     const {incoming} = call;
-    const key = keys.readKey(keyText);
+    const key = keys.parseKey(keyText);
     if (key === undefined) {
       answers.refuse(
         this.context,
@@ -120,17 +120,17 @@
     });
     switch (admission.kind) {
       case 'refuse':
-        answers.refuse(this.context, incoming, refuseKey(admission.refusal));
+        answers.refuse(this.context, incoming, toRefusal(admission.refusal));
         return;
       case 'replay':
-        this.sendKept(incoming, admission.answer, true);
+        this.sendStoredResponse(incoming, admission.answer, true);
         return;
       case 'wait':
-        this.answerEnd(incoming, await admission.end, true);
+        this.sendResult(incoming, await admission.end, true);
         return;
       case 'run': {
         const end = await this.runOnce(call, admission.finish);
-        this.answerEnd(incoming, end.end, false, end.refusal);
+        this.sendResult(incoming, end.end, false, end.refusal);
         return;
       }
     }
@@ -139,9 +139,9 @@
   /** Always finishes the run, whatever happens on the way. */
   private async runOnce(
     call: ServiceCall,
-    finish: (end: RunEnd) => void,
-  ): Promise<{end: RunEnd; refusal?: refusals.Refusal}> {
-    const ticket = await this.enter(call.incoming);
+    finish: (end: RunResult) => void,
+  ): Promise<{end: RunResult; refusal?: refusals.Refusal}> {
+    const ticket = await this.admit(call.incoming);
     if (!ticket.ok) {
       finish({kind: 'not-run'});
       return {end: {kind: 'not-run'}, refusal: ticket.error};
@@ -152,17 +152,17 @@
     return {end};
   }
 
-  private async dispatchOnce(call: ServiceCall): Promise<RunEnd> {
+  private async dispatchOnce(call: ServiceCall): Promise<RunResult> {
     const sent = await this.dispatch(call);
     if (!sent.ok) {
       return {kind: sent.error.sent ? 'unknown' : 'not-run'};
     }
-    const read = await body.readBody(sent.value, MAX_KEPT_ANSWER_BYTES);
+    const read = await body.readBody(sent.value, MAX_STORED_RESPONSE_BYTES);
     if (!read.ok) {
       sent.value.destroy();
       return {kind: 'ran', answer: null};
     }
-    const answer: KeptAnswer = {
+    const answer: StoredResponse = {
       status: sent.value.statusCode ?? 502,
       contentType: sent.value.headers['content-type'] ?? '',
       body: read.value.toString('base64'),
@@ -170,13 +170,20 @@
     return {kind: 'ran', answer};
   }
 
-  private enter(
-    incoming: Incoming,
+  private admit(
+    incoming: IncomingRequest,
     signal?: AbortSignal,
   ): Promise<Result<Ticket, refusals.Refusal>> {
-    const {account, weight, priority, deadlineAt, isReturning} = incoming;
-    return this.context.admission.enter(
-      {account, weight, priority, cost: 1, deadlineAt, isReturning},
+    const {account, weight, priority, deadlineAt, isReservedRetry} = incoming;
+    return this.context.admission.admit(
+      {
+        account,
+        weight,
+        priority,
+        cost: 1,
+        deadlineAt,
+        isReservedRetry,
+      },
       signal,
     );
   }
@@ -197,16 +204,16 @@
         ...(type === undefined ? {} : {'content-type': type}),
         ...(key === undefined ? {} : {[headers.KEY_HEADER]: key}),
       },
-      body: call.text.length > 0 ? call.text : undefined,
-      timeoutMs: timeLeft(incoming),
+      body: call.payload.length > 0 ? call.payload : undefined,
+      timeoutMs: remainingMs(incoming),
       signal,
     });
-    return sent.ok ? this.checkOwn(incoming, sent.value) : sent;
+    return sent.ok ? this.checkRequestId(incoming, sent.value) : sent;
   }
 
   /** An answer that names another request is never passed on. */
-  private checkOwn(
-    incoming: Incoming,
+  private checkRequestId(
+    incoming: IncomingRequest,
     res: http.IncomingMessage,
   ): Result<http.IncomingMessage, httpClient.CallError> {
     const named = body.headerOf(res, refusals.REQUEST_HEADER);
@@ -218,15 +225,15 @@
     return fail({kind: 'connection-lost', sent: true});
   }
 
-  private answerEnd(
-    incoming: Incoming,
-    end: RunEnd,
+  private sendResult(
+    incoming: IncomingRequest,
+    end: RunResult,
     replayed: boolean,
     refusal?: refusals.Refusal,
   ): void {
     switch (end.kind) {
       case 'ran':
-        this.sendKept(incoming, end.answer, replayed);
+        this.sendStoredResponse(incoming, end.answer, replayed);
         return;
       case 'not-run':
         answers.refuse(
@@ -239,14 +246,14 @@
         answers.refuse(
           this.context,
           incoming,
-          refuseKey({kind: 'outcome-unknown'}),
+          toRefusal({kind: 'outcome-unknown'}),
         );
     }
   }
 
-  private sendKept(
-    incoming: Incoming,
-    answer: KeptAnswer | null,
+  private sendStoredResponse(
+    incoming: IncomingRequest,
+    answer: StoredResponse | null,
     replayed: boolean,
   ): void {
     if (answer === null) {
@@ -269,7 +276,7 @@
         : {'content-type': answer.contentType}),
       'content-length': text.length,
       ...(replayed ? {[headers.REPLAYED_HEADER]: 'true'} : {}),
-      ...answers.ownHeaders(this.context, incoming),
+      ...answers.sidecarHeaders(this.context, incoming),
     });
     res.end(text);
   }
@@ -293,11 +300,11 @@
 /** Two calls with one key must be the same call. */
 function fingerprintOf(call: ServiceCall): string {
   const head = `${call.method} ${call.path}\n`;
-  return headers.digest(Buffer.concat([Buffer.from(head), call.text]));
+  return headers.sha256Hex(Buffer.concat([Buffer.from(head), call.payload]));
 }
 
 /** The refusal that a caller gets for a key. */
-export function refuseKey(refusal: KeyRefusal): refusals.Refusal {
+export function toRefusal(refusal: KeyRefusal): refusals.Refusal {
   switch (refusal.kind) {
     case 'key-burnt':
       return refusals.notRun('key-burnt', 'use a new key');
--- a/src/roles/entry.ts
+++ b/src/roles/entry.ts
@@ -1,7 +1,7 @@
 /** The entry: wires the aggregates of a process that callers reach. */
 import type * as http from 'node:http';
 import {Subscription} from 'rxjs';
-import * as claims from '../claims/directory';
+import * as claims from '../claims/owner-directory';
 import {Follower} from '../configuration/follower';
 import * as httpClient from '../http/client';
 import * as httpServer from '../http/server';
@@ -10,7 +10,7 @@
 import {HttpObjectApi} from '../platform/client';
 import type {Instance} from '../platform/types';
 import type {EntryContext} from '../requests/entry-context';
-import {EntryFace} from '../requests/entry-face';
+import {EntryHandler} from '../requests/entry-handler';
 import * as journal from '../requests/journal';
 import {AccountLimits} from '../requests/limits';
 import * as refusals from '../requests/refusals';
@@ -42,7 +42,7 @@
   private readonly agent: http.Agent = httpClient.makeAgent();
   private readonly metrics = new Metrics();
   private readonly context: EntryContext;
-  private readonly face: EntryFace;
+  private readonly face: EntryHandler;
   private readonly subscriptions = new Subscription();
   private listener: httpServer.Listener | undefined;
   private ready = false;
@@ -60,7 +60,7 @@
     this.targets = new TargetDirectory(cfg.id, () => this.subsetSize());
     this.poller = new ReportPoller(this.targets, this.rpc);
     this.context = this.makeContext();
-    this.face = new EntryFace(
+    this.face = new EntryHandler(
       this.context,
       new AccountLimits(() => this.shareOfLimits()),
     );
@@ -125,7 +125,7 @@
 
   private makeContext(): EntryContext {
     const {cfg, follower, targets, rpc, agent, log, metrics} = this;
-    const directory = new claims.Directory(rpc, service =>
+    const directory = new claims.OwnerDirectory(rpc, service =>
       targets.forService(service).map(target => target.address),
     );
     return {
@@ -134,7 +134,7 @@
       address: () => this.address,
       follower,
       targets,
-      claims: directory,
+      owners: directory,
       policy: new ScoredPolicy(() => this.scoreSettings()),
       prefixes: new PrefixMemory(),
       budget: new RetryBudget(() => this.retryShare()),
@@ -177,14 +177,18 @@
     if (!this.ready) {
       const detail = 'this entry has no configuration yet';
       const refusal = refusals.notRun('no-target', detail, STARTING_RETRY_MS);
-      refusals.sendRefusal(res, refusals.withoutOwner(req, refusal), '');
+      refusals.sendRefusal(
+        res,
+        refusals.withUnconfirmedOutcome(req, refusal),
+        '',
+      );
       return;
     }
     if (this.stopping) {
       // Ends kept-alive connections as they answer.
       res.setHeader('connection', 'close');
     }
-    await this.face.answer(req, res);
+    await this.face.handle(req, res);
   }
 
   private becomeReady(): void {
--- a/src/roles/sidecar.ts
+++ b/src/roles/sidecar.ts
@@ -3,11 +3,11 @@
 import * as fs from 'node:fs';
 import type * as http from 'node:http';
 import {Subscription} from 'rxjs';
-import * as claimsApp from '../claims/app';
+import * as claimsApp from '../claims/rpc-methods';
 import * as handover from '../claims/handover';
-import {Keeper} from '../claims/keeper';
+import {SlotManager} from '../claims/slot-manager';
 import * as keys from '../claims/keys';
-import {Runs} from '../claims/runs';
+import {KeyedRuns} from '../claims/keyed-runs';
 import type {Owner} from '../claims/types';
 import {SteadyClock} from '../clock';
 import {Follower} from '../configuration/follower';
@@ -21,11 +21,14 @@
 import {Metrics} from '../observability/metrics';
 import {HttpObjectApi} from '../platform/client';
 import {Admission} from '../requests/admission';
-import * as assistant from '../requests/assistant';
+import * as assistant from '../requests/chat-request';
 import * as headers from '../requests/headers';
 import * as refusals from '../requests/refusals';
-import {SidecarAssistant} from '../requests/sidecar-assistant';
-import type {Incoming, SidecarContext} from '../requests/sidecar-context';
+import {SidecarChat} from '../requests/sidecar-chat';
+import type {
+  IncomingRequest,
+  SidecarContext,
+} from '../requests/sidecar-context';
 import {SidecarService} from '../requests/sidecar-service';
 import {RpcClient} from '../rpc/client';
 import {RpcServer} from '../rpc/server';
@@ -65,12 +68,12 @@
   private readonly admission: Admission;
   private readonly callers = new CallerMemory();
   private readonly context: SidecarContext;
-  private readonly assistant: SidecarAssistant;
+  private readonly assistant: SidecarChat;
   private readonly subscriptions = new Subscription();
   private probe: EngineProbe | undefined;
   private rankService: RankService | undefined;
-  private keeper: Keeper | undefined;
-  private runs: Runs | undefined;
+  private keeper: SlotManager | undefined;
+  private runs: KeyedRuns | undefined;
   private service: SidecarService | undefined;
   private forgetTimer: NodeJS.Timeout | undefined;
   private listener: httpServer.Listener | undefined;
@@ -92,7 +95,7 @@
       maxQueued: cfg.maxQueued,
     }));
     this.context = this.makeContext();
-    this.assistant = new SidecarAssistant(this.context);
+    this.assistant = new SidecarChat(this.context);
     this.follower.serve(this.rpcServer);
     this.rpcServer.handle(targetsApp.report, (_params, peer) => {
       this.callers.note(peer.address, Date.now());
@@ -222,7 +225,7 @@
     const service = this.serves.name;
     const settings = () =>
       this.follower.replica.service(service) ?? DEFAULT_SERVICE;
-    const keeper = new Keeper(
+    const keeper = new SlotManager(
       () => ({service, ...settings()}),
       this.identity(settings().maxLeadMs),
       this.clock,
@@ -230,7 +233,7 @@
       this.log,
       () => this.liveMates(),
     );
-    const runs = new Runs(
+    const runs = new KeyedRuns(
       keeper,
       this.clock,
       () => settings().slots,
@@ -241,15 +244,25 @@
     this.runs = runs;
     this.service = new SidecarService(this.context, runs, settings);
     this.bindClaims(service, keeper, runs);
-    keeper.wake();
-    this.forgetTimer = setInterval(() => runs.forgetOld(), FORGET_PERIOD_MS);
+    keeper.triggerUpkeep();
+    this.forgetTimer = setInterval(() => runs.evictExpired(), FORGET_PERIOD_MS);
   }
 
-  private bindClaims(service: string, keeper: Keeper, runs: Runs): void {
-    handover.serve(this.rpcServer, service, keeper, runs, () => !this.leaving);
-    this.rpcServer.handle(claimsApp.table, () => ({cells: keeper.table()}));
+  private bindClaims(
+    service: string,
+    keeper: SlotManager,
+    runs: KeyedRuns,
+  ): void {
+    handover.serveHandover(
+      this.rpcServer,
+      service,
+      keeper,
+      runs,
+      () => !this.leaving,
+    );
+    this.rpcServer.handle(claimsApp.table, () => ({cells: keeper.listCells()}));
     this.rpcServer.handle(claimsApp.burn, params => {
-      const key = keys.readKey(params.key);
+      const key = keys.parseKey(params.key);
       const isOwn = params.service === service && key !== undefined;
       return {state: isOwn ? runs.burn(params.account, key) : 'not-owner'};
     });
@@ -286,7 +299,7 @@
       this.leave('platform list');
       void this.handOver();
     }
-    this.keeper?.wake();
+    this.keeper?.triggerUpkeep();
   }
 
   private leave(by: string): void {
@@ -371,7 +384,11 @@
     if (!this.ready) {
       const detail = 'this sidecar has no configuration yet';
       const refusal = refusals.notRun('no-target', detail, STARTING_RETRY_MS);
-      refusals.sendRefusal(res, refusals.withoutOwner(req, refusal), '');
+      refusals.sendRefusal(
+        res,
+        refusals.withUnconfirmedOutcome(req, refusal),
+        '',
+      );
       return;
     }
     this.open_ += 1;
@@ -403,7 +420,10 @@
     }
   }
 
-  private async answerStream(incoming: Incoming, url: URL): Promise<void> {
+  private async answerStream(
+    incoming: IncomingRequest,
+    url: URL,
+  ): Promise<void> {
     const request = url.pathname.slice(assistant.STREAMS_PATH.length);
     if (incoming.req.method === 'DELETE') {
       await this.assistant.cancel(incoming, request);
@@ -413,12 +433,15 @@
     await this.assistant.resume(incoming, request, after);
   }
 
-  private async answerService(incoming: Incoming, url: string): Promise<void> {
+  private async answerService(
+    incoming: IncomingRequest,
+    url: string,
+  ): Promise<void> {
     const prefix = `/${this.serves.name}/`;
     if (this.service === undefined || !url.startsWith(prefix)) {
       incoming.req.resume();
       const refusal = refusals.notRun('not-found', `nothing under ${url}`);
-      const honest = refusals.withoutOwner(incoming.req, refusal);
+      const honest = refusals.withUnconfirmedOutcome(incoming.req, refusal);
       refusals.sendRefusal(incoming.res, honest, incoming.id);
       return;
     }
@@ -428,11 +451,11 @@
   private readIncoming(
     req: http.IncomingMessage,
     res: http.ServerResponse,
-  ): Incoming {
+  ): IncomingRequest {
     const account = body.headerOf(req, headers.ACCOUNT_HEADER) ?? '';
     const timeoutText = body.headerOf(req, headers.TIMEOUT_HEADER);
     const timeoutMs =
-      headers.readTimeout(timeoutText, DEFAULT_TIMEOUT_MS * 20) ?? 0;
+      headers.parseTimeoutMs(timeoutText, DEFAULT_TIMEOUT_MS * 20) ?? 0;
     const rendered = this.follower.replica.account(account);
     return {
       req,
@@ -441,7 +464,8 @@
       account,
       weight: rendered?.parameters.weight ?? 1,
       priority: this.priorityOf(account),
-      isReturning: body.headerOf(req, headers.RETURN_HEADER) === this.cfg.id,
+      isReservedRetry:
+        body.headerOf(req, headers.RETURN_HEADER) === this.cfg.id,
       deadlineAt: Date.now() + timeoutMs,
     };
   }
