--- a/src/claims/cells.ts
+++ b/src/claims/cells.ts
@@ -1,13 +1,13 @@
 /**
- * The rules of a slot's cells. Pure: every function gives a new slot or a
- * refusal, and the caller writes it by conditional update.
+ * State transitions of a slot's cells. Every function is pure and returns a new
+ * slot or an error; the caller writes the slot by conditional update.
  */
 import {Result, fail, ok} from '../result';
 import type {Cell, ClockAnchor, Owner, Slot} from './types';
 
-/** Why a slot was left as it is. */
+/** Why a transition was rejected. */
 export type CellError =
-  /** The last cell runs until then; a new owner starts from there only. */
+  /** The last cell ends at `until`; a new owner's cell cannot start earlier. */
   | {
       readonly kind: 'still-owned';
       readonly until: number;
@@ -16,25 +16,23 @@
   | {readonly kind: 'not-owner'}
   | {readonly kind: 'empty-interval'};
 
-/** A slot nobody has owned yet. */
 export const EMPTY_SLOT: Slot = {cells: []};
 
-/** The cell that owns a minting time. */
+/** The cell that contains a minting time. */
 export function cellAt(slot: Slot, mintedAt: number): Cell | undefined {
   return slot.cells.find(
     cell => cell.from <= mintedAt && mintedAt < cell.until,
   );
 }
 
-/** The newest cell. */
 export function lastCell(slot: Slot): Cell | undefined {
   return slot.cells[slot.cells.length - 1];
 }
 
 /**
- * Gives a slot to a new owner from the old `until`, or from `now` if that
- * has passed. `acceptBefore` bounds how far ahead the old `until` may lie:
- * a slot may be taken a little early, so that no minting time is unowned.
+ * Appends a cell for a new owner, from the end of the last cell or from `now` if
+ * that has passed. Fails if the last cell ends after `acceptBefore`, which may be
+ * later than `now` so that no gap without an owner arises.
  */
 export function take(
   slot: Slot,
@@ -58,7 +56,7 @@
   return ok({cells: [...slot.cells, {from, until, owner}]});
 }
 
-/** Moves the owner's `until` ahead; never back. */
+/** Extends the owner's last cell to `until`; never shortens it. */
 export function extend(
   slot: Slot,
   incarnation: string,
@@ -73,8 +71,8 @@
 }
 
 /**
- * Ends a cell early at `at`. Only for a caller that has proved the owner
- * dead, or that is the owner and runs no key minted from `at` on.
+ * Ends the last cell at `at`, if that is earlier. Safe only if the owner has
+ * terminated, or if the caller is the owner and runs no key minted from `at` on.
  */
 export function cutShort(
   slot: Slot,
@@ -93,7 +91,7 @@
   return ok({cells: [...kept, {...last, until}]});
 }
 
-/** Gives the newest cell, with its record, to another incarnation. */
+/** Transfers all of an incarnation's cells to the successor. */
 export function handOver(
   slot: Slot,
   incarnation: string,
@@ -107,7 +105,7 @@
     : fail({kind: 'not-owner'});
 }
 
-/** Drops cells whose keys are all older than the retention. */
+/** Drops cells that end at or before `oldestKept`, except the last cell. */
 export function prune(slot: Slot, oldestKept: number): Slot {
   const last = lastCell(slot);
   return {
@@ -116,14 +114,14 @@
 }
 
 /**
- * What a process of the same boot, whose clock had this anchor, would read
- * now. Exact: both clocks run on the boot's one monotonic clock.
+ * Wall-clock time, in milliseconds, of a process of the same boot with this
+ * anchor. Exact, since both processes read the boot's one monotonic clock.
  */
 export function readClockOf(anchor: ClockAnchor, monotonicMs: number): number {
   return Math.ceil(anchor.wallMs + (monotonicMs - anchor.monotonicMs));
 }
 
-/** True where cells are in order and no two share a minting time. */
+/** True if all cells are non-empty, in order and disjoint. */
 export function areCellsDisjoint(slot: Slot): boolean {
   return slot.cells.every((cell, index) => {
     const next = slot.cells[index + 1];
--- a/src/claims/handover.ts
+++ b/src/claims/handover.ts
@@ -1,13 +1,13 @@
 /**
- * A planned stop gives the slots, with what became of their keys, to another
- * sidecar of the service: surrender, settle, send the record, write the
- * store, tell the successor. Whatever fails on the way costs a wait until the
- * cell has ended, never a second run.
+ * Hands over slots and their key records to other sidecars of the service when
+ * a sidecar stops: surrender the slot, wait for its runs, send the records, write
+ * the store, activate the successor. If a step fails, the slot is not served
+ * until its cell ends; no key runs twice.
  */
 import {Log} from '../observability/log';
 import type {RpcClient} from '../rpc/client';
 import type {RpcServer} from '../rpc/server';
-import * as app from './rpc-methods';
+import * as rpcMethods from './rpc-methods';
 import type {SlotManager} from './slot-manager';
 import * as keys from './keys';
 import type {KeyedRuns} from './keyed-runs';
@@ -17,9 +17,9 @@
 const TRANSFER_TIMEOUT_MS = 5_000;
 const MAX_WRITE_ATTEMPTS = 3;
 
-/** Gives all slots of a keeper away. Answers how many were taken over. */
+/** Hands over all own slots; returns the number that successors took over. */
 export async function handOverAll(
-  keeper: SlotManager,
+  manager: SlotManager,
   runs: KeyedRuns,
   service: string,
   slots: number,
@@ -28,16 +28,16 @@
   log: Log,
 ): Promise<number> {
   const successors = await findSuccessors(candidates, service, rpc);
-  let handed = 0;
-  for (const [index, slot] of keeper.ownSlots().entries()) {
-    keeper.surrender(slot);
+  let handedOver = 0;
+  for (const [index, slot] of manager.ownSlots().entries()) {
+    manager.surrender(slot);
     await runs.waitForRuns(slot);
     const owner = successors[index % Math.max(successors.length, 1)];
     if (owner === undefined) {
       continue;
     }
     const done = await handOverSlot(
-      keeper,
+      manager,
       runs,
       service,
       slot,
@@ -46,11 +46,11 @@
       rpc,
     );
     if (done) {
-      handed += 1;
+      handedOver += 1;
       log.event('cellHandedOver', {slot, successor: owner.targetId});
     }
   }
-  return handed;
+  return handedOver;
 }
 
 async function findSuccessors(
@@ -59,7 +59,9 @@
   rpc: RpcClient,
 ): Promise<Owner[]> {
   const answers = await Promise.all(
-    candidates.map(address => rpc.call(address, app.successor, {service})),
+    candidates.map(address =>
+      rpc.call(address, rpcMethods.successor, {service}),
+    ),
   );
   return answers.flatMap(answer =>
     answer.ok && answer.value.owner !== null ? [answer.value.owner] : [],
@@ -67,7 +69,7 @@
 }
 
 async function handOverSlot(
-  keeper: SlotManager,
+  manager: SlotManager,
   runs: KeyedRuns,
   service: string,
   slot: number,
@@ -75,27 +77,27 @@
   successor: Owner,
   rpc: RpcClient,
 ): Promise<boolean> {
-  const own = keeper
+  const ownCells = manager
     .listCells()
     .filter(
       entry =>
         entry.slot === slot &&
-        entry.cell.owner.incarnation === keeper.self.incarnation,
+        entry.cell.owner.incarnation === manager.self.incarnation,
     )
     .map(entry => entry.cell);
-  const records = own
+  const records = ownCells
     .flatMap(cell => runs.records.mintedWithin(cell.from, cell.until))
     .filter(record => slotOfRecord(record.key, slots) === slot);
-  const froms = own.map(cell => cell.from);
+  const froms = ownCells.map(cell => cell.from);
   for (let at = 0; at <= records.length; at += RECORDS_PER_MESSAGE) {
     const isLast = at + RECORDS_PER_MESSAGE > records.length;
     const sent = await rpc.call(
       successor.address,
-      app.receive,
+      rpcMethods.receive,
       {
         service,
         slot,
-        // Named with the last part only: a part of a record is no record.
+        // Sent with the last message only, once all records have been received.
         froms: isLast ? froms : [],
         records: records.slice(at, at + RECORDS_PER_MESSAGE),
       },
@@ -105,17 +107,17 @@
       return false;
     }
   }
-  for (let tries = 0; tries < MAX_WRITE_ATTEMPTS; tries += 1) {
-    const written = await keeper.handOver(slot, successor);
+  for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt += 1) {
+    const written = await manager.handOver(slot, successor);
     if (written.ok || written.error.kind === 'not-owner') {
       break;
     }
   }
-  const told = await rpc.call(successor.address, app.activate, {
+  const activated = await rpc.call(successor.address, rpcMethods.activate, {
     service,
     slot,
   });
-  return told.ok && told.value.active;
+  return activated.ok && activated.value.active;
 }
 
 function slotOfRecord(key: string, slots: number): number {
@@ -123,18 +125,18 @@
   return parsed === undefined ? -1 : keys.slotOf(parsed, slots);
 }
 
-/** Binds the successor's side. `accepting` is false once it leaves itself. */
+/** Registers the successor's RPC methods. `accepting` is false while it leaves. */
 export function serveHandover(
   server: RpcServer,
   service: string,
-  keeper: SlotManager,
+  manager: SlotManager,
   runs: KeyedRuns,
   accepting: () => boolean,
 ): void {
-  server.handle(app.successor, params => ({
-    owner: params.service === service && accepting() ? keeper.self : null,
+  server.handle(rpcMethods.successor, params => ({
+    owner: params.service === service && accepting() ? manager.self : null,
   }));
-  server.handle(app.receive, params => {
+  server.handle(rpcMethods.receive, params => {
     if (params.service !== service || !accepting()) {
       return {accepted: false};
     }
@@ -143,14 +145,14 @@
         runs.records.set(record);
       }
     }
-    params.froms.forEach(from => keeper.markRecordsHeld(params.slot, from));
+    params.froms.forEach(from => manager.markRecordsHeld(params.slot, from));
     return {accepted: true};
   });
-  server.handle(app.activate, async params => {
+  server.handle(rpcMethods.activate, async params => {
     if (params.service !== service) {
       return {active: false};
     }
-    await keeper.refresh(params.slot);
-    return {active: keeper.ownSlots().includes(params.slot)};
+    await manager.refresh(params.slot);
+    return {active: manager.ownSlots().includes(params.slot)};
   });
 }
--- a/src/claims/keyed-runs.ts
+++ b/src/claims/keyed-runs.ts
@@ -1,6 +1,6 @@
 /**
- * The decision for each call with a key, and what becomes of it: run it, wait
- * for the run under way, replay its answer, or refuse it.
+ * At-most-once execution of calls with a request key: decides whether a call
+ * runs, waits for the run in progress, gets the stored response, or is refused.
  */
 import type {SteadyClock} from '../clock';
 import type {SlotManager} from './slot-manager';
@@ -8,15 +8,15 @@
 import * as records from './records';
 import type {Owner} from './types';
 
-/** How a run under way ended. */
+/** How a run ended. */
 export type RunResult =
   | {readonly kind: 'ran'; readonly answer: records.StoredResponse | null}
   | {readonly kind: 'not-run'}
   | {readonly kind: 'unknown'};
 
-/** Why a key does not run here. */
+/** Why a call with a key is refused. */
 export type KeyRefusal =
-  /** The key is burnt: it has not run and never will. */
+  /** The key has not run and never will. */
   | {readonly kind: 'key-burnt'}
   /** The key may have run and will not run again. */
   | {readonly kind: 'outcome-unknown'}
@@ -25,17 +25,15 @@
   | {readonly kind: 'key-too-old'}
   | {readonly kind: 'not-owner'; readonly owner: Owner | null};
 
-/** What to do with a call. */
 export type CallDecision =
   | {readonly kind: 'run'; readonly finish: (end: RunResult) => void}
   | {readonly kind: 'wait'; readonly end: Promise<RunResult>}
   | {readonly kind: 'replay'; readonly answer: records.StoredResponse | null}
   | {readonly kind: 'refuse'; readonly refusal: KeyRefusal};
 
-/** What became of a key, as the owner knows it. */
+/** State of a key, according to the sidecar asked. */
 export type KeyState = 'not-run' | 'running' | 'ran' | 'unknown' | 'not-owner';
 
-/** A call with a key. */
 export interface KeyedCall {
   readonly account: string;
   readonly key: keys.RequestKey;
@@ -51,8 +49,8 @@
   readonly records: records.KeyRecords;
   private readonly activeRuns = new Map<string, ActiveRun>();
   /**
-   * Keys minted before this are refused for good: their records may be gone,
-   * even if the retention is later set longer.
+   * Keys minted before this time are refused. It never decreases: records before
+   * it may have been dropped even if the retention is lengthened later.
    */
   private oldestAccepted = 0;
 
@@ -66,7 +64,7 @@
     this.records = new records.KeyRecords(maxAnswerBytes);
   }
 
-  /** Decides on a call; `run` has marked the key as running already. */
+  /** Decides on a call. For `run`, the key is already marked as running. */
   admit(call: KeyedCall): CallDecision {
     const refusal = this.refusalOf(call);
     if (refusal !== undefined) {
@@ -79,8 +77,8 @@
   }
 
   /**
-   * Makes sure that a key never runs, unless it has been let run already.
-   * Only an owner can say `not-run`.
+   * Prevents a key from ever running, unless it has been started already.
+   * Returns `not-run` only if this process can guarantee it.
    */
   burn(account: string, key: keys.RequestKey): KeyState {
     const state = this.stateOf(account, key);
@@ -97,7 +95,7 @@
     return 'not-run';
   }
 
-  /** Waits until none of a slot's keys is running. */
+  /** Waits until the slot's runs in progress have ended. */
   async waitForRuns(slot: number): Promise<void> {
     const ends = [...this.activeRuns.values()]
       .filter(running => running.slot === slot)
@@ -109,12 +107,12 @@
     return this.activeRuns.size;
   }
 
-  /** Drops what is too old to be asked for again. */
+  /** Drops records of keys that are too old to be accepted. */
   evictExpired(): void {
     this.records.evictBefore(this.advanceOldestAccepted());
   }
 
-  /** Undefined: this owner has no record of the key and may burn it. */
+  /** Undefined if this owner has no record of the key and may burn it. */
   private stateOf(account: string, key: keys.RequestKey): KeyState | undefined {
     const slot = keys.slotOf(key, this.slots());
     const ownership = this.keeper.ownership(slot, key.mintedAt);
@@ -141,8 +139,8 @@
   }
 
   /**
-   * The owner answered at the address that this process holds now: nobody
-   * is left to ask what became of its keys.
+   * True if the owner was an earlier process at this process's address. Its key
+   * records are lost, so the outcomes of its keys are unknown.
    */
   private isPreviousIncarnation(owner: Owner): boolean {
     const {address, incarnation} = this.keeper.self;
@@ -196,16 +194,16 @@
       mintedAt: key.mintedAt,
       fingerprint,
     };
-    const name = `${account} ${key.text}`;
+    const runId = `${account} ${key.text}`;
     let settle!: (end: RunResult) => void;
     const end = new Promise<RunResult>(resolve => {
       settle = resolve;
     });
     const slot = keys.slotOf(key, this.slots());
-    this.activeRuns.set(name, {slot, end});
+    this.activeRuns.set(runId, {slot, end});
     this.records.set({...record, state: 'running'});
     const finish = (result: RunResult) => {
-      if (!this.activeRuns.delete(name)) {
+      if (!this.activeRuns.delete(runId)) {
         return;
       }
       this.records.set({...record, ...recordFields(result)});
--- a/src/claims/keys.ts
+++ b/src/claims/keys.ts
@@ -1,4 +1,4 @@
-/** Request keys: UUIDv7, whose minting time is the fence. */
+/** Request keys: UUIDv7s whose timestamp is the key's minting time. */
 import {randomFillSync} from 'node:crypto';
 import * as murmurhash from 'murmurhash';
 import * as uuid from 'uuid';
@@ -7,7 +7,6 @@
 const TIMESTAMP_HEX_DIGITS = 12;
 const HEX_RADIX = 16;
 
-/** A key's parts. */
 export interface RequestKey {
   /** The canonical text, in lower case. */
   readonly text: string;
@@ -15,7 +14,7 @@
   readonly mintedAt: number;
 }
 
-/** Undefined where the text is no UUIDv7. */
+/** Parses a request key; undefined if the text is not a UUIDv7. */
 export function parseKey(text: string): RequestKey | undefined {
   if (!uuid.validate(text) || uuid.version(text) !== UUID_VERSION) {
     return undefined;
@@ -25,20 +24,20 @@
   return {text: canonical, mintedAt: parseInt(digits, HEX_RADIX)};
 }
 
-/** The slot of a key: by its random bits only, not by its time. */
+/** The slot of a key: a hash of its random bits, independent of its time. */
 export function slotOf(key: RequestKey, slots: number): number {
   const random = key.text.slice('00000000-0000-'.length);
   return murmurhash.v3(random) % slots;
 }
 
 /**
- * Mints a key at a time and in one of the wanted slots. Takes about
- * `slots / wanted.size` tries.
+ * Mints a key with this minting time in one of the allowed slots. Takes about
+ * `slots / allowedSlots.size` attempts; never returns if there are none.
  */
 export function mintKey(
   mintedAt: number,
   slots: number,
-  wanted: ReadonlySet<number>,
+  allowedSlots: ReadonlySet<number>,
 ): RequestKey {
   const RANDOM_BYTES = 16;
   const bytes = new Uint8Array(RANDOM_BYTES);
@@ -46,7 +45,7 @@
     randomFillSync(bytes);
     const text = uuid.v7({msecs: mintedAt, random: bytes});
     const key = {text, mintedAt};
-    if (wanted.has(slotOf(key, slots))) {
+    if (allowedSlots.has(slotOf(key, slots))) {
       return key;
     }
   }
--- a/src/claims/owner-directory.ts
+++ b/src/claims/owner-directory.ts
@@ -1,17 +1,18 @@
 /**
- * The entry's copy of a service's slots, fetched from the sidecars: it only
- * finds the owner faster. A wrong line costs a hop, since the owner decides.
+ * An entry's cache of which sidecar owns each slot, fetched from the sidecars.
+ * Entries may be stale: the owner itself decides, so a stale one costs only an
+ * extra hop.
  */
 import * as random from '../random';
 import type {RpcClient} from '../rpc/client';
-import * as app from './rpc-methods';
+import * as rpcMethods from './rpc-methods';
 import * as keys from './keys';
 import type {Cell, Owner} from './types';
 
 const SIDECARS_PER_FETCH = 2;
 const MIN_REFRESH_INTERVAL_MS = 200;
 
-/** The slots of one service. */
+/** Cached cells of one service. */
 interface Table {
   readonly cells: readonly {readonly slot: number; readonly cell: Cell}[];
   readonly fetchedAt: number;
@@ -27,7 +28,7 @@
     private readonly sidecars: (service: string) => readonly string[],
   ) {}
 
-  /** The owner of a key, if a table in hand or a fresh one shows it. */
+  /** The owner of a key, from the cached table or else from a fresh one. */
   async findOwner(
     service: string,
     key: keys.RequestKey,
@@ -41,7 +42,7 @@
     return this.lookUp(service, key, slots);
   }
 
-  /** Fetches the table again; calls within a short time share one. */
+  /** Refetches the table; concurrent and closely following calls share a fetch. */
   async refresh(service: string): Promise<void> {
     const table = this.tables.get(service);
     if (
@@ -56,10 +57,7 @@
     this.refreshing.delete(service);
   }
 
-  /**
-   * Mints keys for now, in slots whose owner is live. Empty where no slot
-   * has a live owner.
-   */
+  /** Mints keys in slots whose owner is live; none if no slot has a live owner. */
   async mintKeys(
     service: string,
     count: number,
@@ -67,14 +65,14 @@
     isLive: (targetId: string) => boolean,
     now: number,
   ): Promise<string[]> {
-    let wanted = this.slotsOfLiveOwners(service, isLive, now);
-    if (wanted.size === 0) {
+    let liveSlots = this.slotsOfLiveOwners(service, isLive, now);
+    if (liveSlots.size === 0) {
       await this.refresh(service);
-      wanted = this.slotsOfLiveOwners(service, isLive, now);
+      liveSlots = this.slotsOfLiveOwners(service, isLive, now);
     }
     const minted: string[] = [];
-    while (wanted.size > 0 && minted.length < count) {
-      minted.push(keys.mintKey(now, slots, wanted).text);
+    while (liveSlots.size > 0 && minted.length < count) {
+      minted.push(keys.mintKey(now, slots, liveSlots).text);
     }
     return minted;
   }
@@ -84,13 +82,13 @@
     isLive: (targetId: string) => boolean,
     now: number,
   ): Set<number> {
-    const wanted = new Set<number>();
+    const liveSlots = new Set<number>();
     for (const [slot, cell] of this.newestCells(service)) {
       if (cell.from <= now && isLive(cell.owner.targetId)) {
-        wanted.add(slot);
+        liveSlots.add(slot);
       }
     }
-    return wanted;
+    return liveSlots;
   }
 
   private lookUp(
@@ -103,7 +101,7 @@
     if (newest !== undefined && newest.from <= key.mintedAt) {
       return newest.owner;
     }
-    const line = this.tables
+    const match = this.tables
       .get(service)
       ?.cells.find(
         entry =>
@@ -111,41 +109,44 @@
           entry.cell.from <= key.mintedAt &&
           key.mintedAt < entry.cell.until,
       );
-    // Whoever has the slot now also knows of the time before its cells.
-    return line?.cell.owner ?? newest?.owner;
+    // The slot's current owner can also decide on times that no cell covers.
+    return match?.cell.owner ?? newest?.owner;
   }
 
   /**
-   * The newest cell of each slot, taken as open-ended: its owner extends it
-   * all the time, and this copy does not hear of that.
+   * The newest cell of each slot. Callers treat it as open-ended, because its
+   * owner keeps extending it and the cache is not told.
    */
   private newestCells(service: string): Map<number, Cell> {
     const newest = new Map<number, Cell>();
     for (const {slot, cell} of this.tables.get(service)?.cells ?? []) {
-      const held = newest.get(slot);
-      if (held === undefined || held.from < cell.from) {
+      const known = newest.get(slot);
+      if (known === undefined || known.from < cell.from) {
         newest.set(slot, cell);
       }
     }
     return newest;
   }
 
-  /** Merges two sidecars' tables: the newer line of a slot is the longer. */
+  /**
+   * Merges the tables of several sidecars. Of two versions of a cell, the one
+   * that ends later wins.
+   */
   private async fetch(service: string): Promise<void> {
     const addresses = [...this.sidecars(service)];
     const merged = new Map<string, {slot: number; cell: Cell}>();
     for (
-      let tries = 0;
-      tries < SIDECARS_PER_FETCH && addresses.length > 0;
-      tries += 1
+      let fetched = 0;
+      fetched < SIDECARS_PER_FETCH && addresses.length > 0;
+      fetched += 1
     ) {
       const [address] = addresses.splice(random.below(addresses.length), 1);
-      const answer = await this.rpc.call(address!, app.table, {service});
-      for (const line of answer.ok ? answer.value.cells : []) {
-        const name = `${line.slot} ${line.cell.from}`;
-        const held = merged.get(name);
-        if (held === undefined || held.cell.until <= line.cell.until) {
-          merged.set(name, line);
+      const answer = await this.rpc.call(address!, rpcMethods.table, {service});
+      for (const entry of answer.ok ? answer.value.cells : []) {
+        const cellId = `${entry.slot} ${entry.cell.from}`;
+        const known = merged.get(cellId);
+        if (known === undefined || known.cell.until <= entry.cell.until) {
+          merged.set(cellId, entry);
         }
       }
     }
--- a/src/claims/records.ts
+++ b/src/claims/records.ts
@@ -1,10 +1,10 @@
 /**
- * What became of each key, in the memory of the cell's owner. A record
- * lives as long as keys of its age are accepted.
+ * Outcomes of request keys, in the memory of the cells' owner. Records are lost
+ * when the process ends without a hand-over.
  */
 import * as v from 'valibot';
 
-/** An answer kept so that a repeated call gets the same one. */
+/** A response stored so that a repeated call gets the same one. */
 export const storedResponseSchema = v.object({
   status: v.number(),
   contentType: v.string(),
@@ -20,7 +20,7 @@
   fingerprint: v.string(),
 };
 
-/** `ran` with a null answer: ran, but the answer is no longer kept. */
+/** `ran` with a null answer: the call ran, but its response is not stored. */
 export const recordSchema = v.variant('state', [
   v.object({...commonSchema, state: v.literal('running')}),
   v.object({
@@ -29,15 +29,15 @@
     answer: v.nullable(storedResponseSchema),
   }),
   v.object({...commonSchema, state: v.literal('burnt')}),
-  /** Sent to the target, and no answer came. */
+  /** Sent to the target, but no response arrived. */
   v.object({...commonSchema, state: v.literal('unknown')}),
 ]);
 export type KeyRecord = v.InferOutput<typeof recordSchema>;
 
-/** Bytes a record costs besides its answer; for the byte cap. */
+/** Estimated size of a record without its response, in bytes. */
 const RECORD_OVERHEAD_BYTES = 300;
 
-/** The records of one owner, by account and key, under a byte cap. */
+/** One owner's records by account and key, with a limit on response bytes. */
 export class KeyRecords {
   private readonly byKey = new Map<string, KeyRecord>();
   private answerBytes = 0;
@@ -48,7 +48,6 @@
     return this.byKey.size;
   }
 
-  /** Bytes held, estimated. */
   get estimatedBytes(): number {
     return this.answerBytes + this.byKey.size * RECORD_OVERHEAD_BYTES;
   }
@@ -57,7 +56,7 @@
     return this.byKey.get(mapKey(account, key));
   }
 
-  /** Sets a record; the oldest kept answers give way to the byte cap. */
+  /** Sets a record; evicts the oldest responses above the byte limit. */
   set(record: KeyRecord): void {
     const name = mapKey(record.account, record.key);
     this.answerBytes -= answerBytesOf(this.byKey.get(name));
@@ -67,14 +66,14 @@
     this.evictAnswers();
   }
 
-  /** Records minted within [from, until). */
+  /** Records of keys minted within [from, until). */
   mintedWithin(from: number, until: number): KeyRecord[] {
     return [...this.byKey.values()].filter(
       record => record.mintedAt >= from && record.mintedAt < until,
     );
   }
 
-  /** Forgets keys that are too old to be accepted again. */
+  /** Drops records of keys minted before `oldestKept`, except running ones. */
   evictBefore(oldestKept: number): void {
     for (const [name, record] of this.byKey) {
       if (record.mintedAt < oldestKept && record.state !== 'running') {
--- a/src/claims/rpc-methods.ts
+++ b/src/claims/rpc-methods.ts
@@ -1,4 +1,4 @@
-/** RPC face of the claims: what an owner tells and takes over. */
+/** RPC methods by which sidecars expose and hand over key ownership. */
 import * as v from 'valibot';
 import * as rpc from '../rpc/types';
 import {recordSchema} from './records';
@@ -14,10 +14,10 @@
   state: v.picklist(['not-run', 'running', 'ran', 'unknown', 'not-owner']),
 });
 
-/** Makes sure that a key never runs, unless it has run already. */
+/** Prevents a key from ever running, unless it has been started already. */
 export const burn = rpc.method('claims.burn', keyCallSchema, keyStateSchema);
 
-/** The slots of a service as a sidecar knows them. */
+/** A sidecar's cached copy of a service's cells. */
 export const table = rpc.method(
   'claims.table',
   v.object({service: v.string()}),
@@ -26,14 +26,14 @@
   }),
 );
 
-/** Identity of a sidecar that could take over slots. */
+/** The identity of a sidecar that accepts slots; null if it does not. */
 export const successor = rpc.method(
   'claims.successor',
   v.object({service: v.string()}),
   v.object({owner: v.nullable(ownerSchema)}),
 );
 
-/** The record of a cell, from an owner that has surrendered it. */
+/** Key records of a slot from an owner that has surrendered it. */
 export const receive = rpc.method(
   'claims.receive',
   v.object({
@@ -45,7 +45,7 @@
   v.object({accepted: v.boolean()}),
 );
 
-/** The store's object after the hand-over was written. */
+/** Makes the successor reread the slot after the hand-over is written. */
 export const activate = rpc.method(
   'claims.activate',
   v.object({service: v.string(), slot: v.number()}),
--- a/src/claims/slot-manager.test.ts
+++ b/src/claims/slot-manager.test.ts
@@ -1,7 +1,6 @@
 /**
- * Owners of one service's slots under random failures, on the paused clock:
- * store outages, lost answers, restarts in place and elsewhere, clocks that
- * differ by minutes. No minting time ever has two owners.
+ * Guards against two owners of one minting time under store outages, lost
+ * responses, restarts and clocks that differ by minutes. Runs on fake timers.
  */
 import * as fc from 'fast-check';
 import {SteadyClock} from '../clock';
@@ -23,25 +22,25 @@
 
 let incarnationCount = 0;
 
-/** One life of a sidecar. */
+/** One process lifetime of a sidecar. */
 interface Incarnation {
-  readonly keeper: SlotManager;
+  readonly manager: SlotManager;
   readonly clock: SteadyClock;
 }
 
-/** One sidecar place: an address on an instance. */
+/** A sidecar with a fixed address on its instance; restarts in place. */
 class SimulatedSidecar {
-  /** Lives that are frozen or cut off, and may wake. */
+  /** Incarnations that are suspended and may still believe to own slots. */
   readonly frozen: Incarnation[] = [];
   current: Incarnation | undefined;
 
   constructor(
-    private readonly world: Cluster,
+    private readonly cluster: Cluster,
     readonly id: string,
     private readonly skewMs: number,
   ) {}
 
-  /** Only where the lives before have ended can the address be held. */
+  /** Starts a new incarnation. All earlier ones have ended: it has the address. */
   async restart(): Promise<void> {
     await this.freeze();
     this.frozen.length = 0;
@@ -55,25 +54,25 @@
       anchor: clock.anchor,
       leadMs: LEAD_MS,
     };
-    const keeper = new SlotManager(
+    const manager = new SlotManager(
       () => SETTINGS,
       owner,
       clock,
-      this.world.store,
+      this.cluster.store,
       SILENT_LOG,
-      () => this.world.liveIds(),
+      () => this.cluster.liveIds(),
     );
-    keeper.triggerUpkeep();
-    this.current = {keeper, clock};
+    manager.triggerUpkeep();
+    this.current = {manager, clock};
   }
 
-  /** Stops the life's upkeep; what it believes to own, it still does. */
+  /** Stops the incarnation's upkeep; it keeps the slots it believes to own. */
   async freeze(): Promise<void> {
     const stopped = this.current;
     this.current = undefined;
     if (stopped !== undefined) {
       this.frozen.push(stopped);
-      void stopped.keeper.close();
+      void stopped.manager.close();
     }
   }
 }
@@ -90,36 +89,36 @@
 
   liveIds(): string[] {
     return this.sidecars
-      .filter(place => place.current !== undefined)
-      .map(place => place.id);
+      .filter(sidecar => sidecar.current !== undefined)
+      .map(sidecar => sidecar.id);
   }
 
   triggerUpkeep(): void {
-    this.sidecars.forEach(place => place.current?.keeper.triggerUpkeep());
+    this.sidecars.forEach(sidecar => sidecar.current?.manager.triggerUpkeep());
   }
 
-  /** Lives that would run a key of this slot and minting time now. */
+  /** Incarnations that would now run a key of this slot and minting time. */
   ownersOf(slot: number, mintedAt: number): string[] {
-    const all = this.sidecars.flatMap(place => [
-      ...place.frozen,
-      ...(place.current ? [place.current] : []),
+    const all = this.sidecars.flatMap(sidecar => [
+      ...sidecar.frozen,
+      ...(sidecar.current ? [sidecar.current] : []),
     ]);
     return all
       .filter(
-        ({keeper, clock}) =>
+        ({manager, clock}) =>
           mintedAt <= clock.now() + LEAD_MS &&
-          keeper.ownership(slot, mintedAt).kind === 'mine',
+          manager.ownership(slot, mintedAt).kind === 'mine',
       )
-      .map(({keeper}) => keeper.self.incarnation);
+      .map(({manager}) => manager.self.incarnation);
   }
 
   async close(): Promise<void> {
-    await Promise.all(this.sidecars.map(place => place.freeze()));
+    await Promise.all(this.sidecars.map(sidecar => sidecar.freeze()));
   }
 }
 
 type Event =
-  | {kind: 'restart' | 'freeze'; place: number}
+  | {kind: 'restart' | 'freeze'; sidecar: number}
   | {kind: 'outage'; ms: number}
   | {kind: 'lose'; answers: number}
   | {kind: 'wait'; ms: number};
@@ -127,7 +126,7 @@
 const event: fc.Arbitrary<Event> = fc.oneof(
   fc.record({
     kind: fc.constantFrom('restart' as const, 'freeze' as const),
-    place: fc.nat(2),
+    sidecar: fc.nat(2),
   }),
   fc.record({
     kind: fc.constant('outage' as const),
@@ -143,30 +142,30 @@
   }),
 );
 
-async function applyEvent(world: Cluster, one: Event): Promise<void> {
+async function applyEvent(cluster: Cluster, one: Event): Promise<void> {
   switch (one.kind) {
     case 'restart':
-      await world.sidecars[one.place]!.restart();
-      world.triggerUpkeep();
+      await cluster.sidecars[one.sidecar]!.restart();
+      cluster.triggerUpkeep();
       return;
     case 'freeze':
-      await world.sidecars[one.place]!.freeze();
-      world.triggerUpkeep();
+      await cluster.sidecars[one.sidecar]!.freeze();
+      cluster.triggerUpkeep();
       return;
     case 'outage':
-      world.store.isDown = true;
+      cluster.store.isDown = true;
       await jest.advanceTimersByTimeAsync(one.ms);
-      world.store.isDown = false;
+      cluster.store.isDown = false;
       return;
     case 'lose':
-      world.store.answersToLose = one.answers;
+      cluster.store.answersToLose = one.answers;
       return;
     case 'wait':
       await jest.advanceTimersByTimeAsync(one.ms);
   }
 }
 
-describe('owners of slots', () => {
+describe('slot ownership', () => {
   beforeEach(() => {
     jest.useFakeTimers({now: 1_800_000_000_000});
   });
@@ -175,7 +174,7 @@
     jest.useRealTimers();
   });
 
-  it('never lets two lives own one minting time', async () => {
+  it('never gives one minting time two owners', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(event, {minLength: 4, maxLength: 14}),
@@ -184,62 +183,62 @@
           maxLength: 3,
         }),
         async (events, skews) => {
-          const world = new Cluster(skews);
-          for (const place of world.sidecars) {
-            await place.restart();
+          const cluster = new Cluster(skews);
+          for (const sidecar of cluster.sidecars) {
+            await sidecar.restart();
           }
           const seen = new Map<string, string>();
           for (const one of events) {
-            await applyEvent(world, one);
-            checkOwners(world, seen, skews);
+            await applyEvent(cluster, one);
+            checkOwners(cluster, seen, skews);
           }
-          await world.close();
+          await cluster.close();
         },
       ),
       {numRuns: 120, seed: 41},
     );
   });
 
-  it('serves again at once after a restart in place', async () => {
-    const world = new Cluster([0]);
-    await world.sidecars[0]!.restart();
+  it('runs keys again soon after a restart in place', async () => {
+    const cluster = new Cluster([0]);
+    await cluster.sidecars[0]!.restart();
     await jest.advanceTimersByTimeAsync(100);
-    await world.sidecars[0]!.restart();
+    await cluster.sidecars[0]!.restart();
     await jest.advanceTimersByTimeAsync(LEAD_MS + 200);
-    const keeper = world.sidecars[0]!.current!.keeper;
-    expect(keeper.ownership(0, Date.now()).kind).toBe('mine');
-    await world.close();
+    const manager = cluster.sidecars[0]!.current!.manager;
+    expect(manager.ownership(0, Date.now()).kind).toBe('mine');
+    await cluster.close();
   });
 
-  it('gives a dead place its slots back within a term', async () => {
-    const world = new Cluster([0, 0]);
-    await world.sidecars[0]!.restart();
-    await world.sidecars[1]!.restart();
+  it('reassigns the slots of a stopped sidecar within a term', async () => {
+    const cluster = new Cluster([0, 0]);
+    await cluster.sidecars[0]!.restart();
+    await cluster.sidecars[1]!.restart();
     await jest.advanceTimersByTimeAsync(100);
-    await world.sidecars[0]!.freeze();
-    world.triggerUpkeep();
+    await cluster.sidecars[0]!.freeze();
+    cluster.triggerUpkeep();
     await jest.advanceTimersByTimeAsync(TERM_MS + LEAD_MS);
     for (let slot = 0; slot < SLOTS; slot += 1) {
-      expect(world.ownersOf(slot, Date.now())).toHaveLength(1);
+      expect(cluster.ownersOf(slot, Date.now())).toHaveLength(1);
     }
-    await world.close();
+    await cluster.close();
   });
 
-  it('rides through an outage shorter than two thirds of a term', async () => {
-    const world = new Cluster([0]);
-    await world.sidecars[0]!.restart();
+  it('keeps its slots through an outage shorter than two thirds of a term', async () => {
+    const cluster = new Cluster([0]);
+    await cluster.sidecars[0]!.restart();
     await jest.advanceTimersByTimeAsync(TERM_MS * 3);
-    world.store.isDown = true;
+    cluster.store.isDown = true;
     await jest.advanceTimersByTimeAsync(TERM_MS * 0.6);
-    const keeper = world.sidecars[0]!.current!.keeper;
-    expect(keeper.ownership(0, Date.now()).kind).toBe('mine');
-    await world.close();
+    const manager = cluster.sidecars[0]!.current!.manager;
+    expect(manager.ownership(0, Date.now()).kind).toBe('mine');
+    await cluster.close();
   });
 });
 
-/** Checks owners now, and that no time ever changes from one to another. */
+/** Checks that no minting time has two owners, now or over time. */
 function checkOwners(
-  world: Cluster,
+  cluster: Cluster,
   seen: Map<string, string>,
   skews: readonly number[],
 ): void {
@@ -247,7 +246,7 @@
   const PROBES = 40;
   const SPAN_MS = 60_000;
   for (let slot = 0; slot < SLOTS; slot += 1) {
-    const object = world.store.peek(types.slotStoreKey('ledger', slot));
+    const object = cluster.store.peek(types.slotStoreKey('ledger', slot));
     const held = (object?.value ?? cells.EMPTY_SLOT) as types.Slot;
     if (!cells.areCellsDisjoint(held)) {
       faults.push(`cells of ${slot} overlap`);
@@ -256,7 +255,7 @@
       for (let probe = 0; probe < PROBES; probe += 1) {
         const at = Date.now() + skew - SPAN_MS / 2 + (probe * SPAN_MS) / PROBES;
         const time = Math.floor(at / 1_000) * 1_000;
-        const owners = world.ownersOf(slot, time);
+        const owners = cluster.ownersOf(slot, time);
         if (owners.length > 1) {
           faults.push(`${slot} ${time}: ${owners}`);
         }
--- a/src/claims/slot-manager.ts
+++ b/src/claims/slot-manager.ts
@@ -1,10 +1,10 @@
 /**
- * The owner's side of the slots of one service: takes the slots that fall to
- * this sidecar, extends their cells well ahead, and gives them up.
+ * Manages one sidecar's ownership of a service's slots: takes the slots assigned
+ * to it, extends their cells ahead of time and hands them over.
  *
- * A key may run here only if a cell that the store has confirmed as this
- * incarnation's own contains its minting time. Once a slot is surrendered it
- * stays so for the life of this process, whatever a late read shows.
+ * A key may run here only if its minting time lies in a cell that the store has
+ * confirmed as owned by this incarnation. A surrendered slot stays surrendered
+ * for the lifetime of the process, whatever a late read of the store returns.
  */
 import type {SteadyClock} from '../clock';
 import {monotonicMs} from '../clock';
@@ -18,13 +18,12 @@
 import * as cells from './cells';
 import * as types from './types';
 
-/** A term is extended when this share of it is left. */
+/** A cell is extended once no more than this share of the term remains. */
 const EXTEND_AT_SHARE = 2 / 3;
 const RETRY_INTERVAL_MS = 500;
 const MIN_UPKEEP_INTERVAL_MS = 50;
 const MAX_UPKEEP_INTERVAL_MS = 30_000;
 
-/** What the keeper needs to know of its service. */
 export interface SlotManagerSettings {
   readonly service: string;
   readonly slots: number;
@@ -37,20 +36,20 @@
   slot: types.Slot;
 }
 
-/** Owner, if any, of a slot at a minting time. */
+/** Who owns a minting time of a slot. */
 export type Ownership =
   | {readonly kind: 'mine'}
   | {readonly kind: 'other'; readonly owner: types.Owner}
-  /** Between two cells: nobody has owned this time and nobody will. */
+  /** Before the last cell and in no cell: can never get an owner. */
   | {readonly kind: 'never-owned'}
-  /** Behind the last cell: nobody owns this time yet. */
+  /** After the last cell: has no owner yet. */
   | {readonly kind: 'not-yet'}
   | {readonly kind: 'surrendered'};
 
 export class SlotManager {
   private readonly cache = new Map<number, CachedSlot>();
   private readonly surrendered = new Set<number>();
-  /** Starts of cells whose record this process holds, by slot. */
+  /** By slot: `from` of the cells whose key records this process holds. */
   private readonly cellsWithRecords = new Map<number, Set<number>>();
   private timer: NodeJS.Timeout | undefined;
   private closed = false;
@@ -63,11 +62,11 @@
     private readonly clock: SteadyClock,
     private readonly store: ObjectApi,
     private readonly log: Log,
-    /** Target ids of the service's live sidecars, this one among them. */
+    /** Target IDs of the service's live sidecars, including this one. */
     private readonly liveIds: () => readonly string[],
   ) {}
 
-  /** Starts taking slots; call again whenever the live list changes. */
+  /** Runs the upkeep now. Call it whenever the list of live sidecars changes. */
   triggerUpkeep(): void {
     if (this.closed) {
       return;
@@ -80,12 +79,12 @@
     this.currentUpkeep = this.runUpkeep();
   }
 
-  /** Who owns a minting time of a slot, as far as this process knows. */
+  /** Who owns a minting time of a slot, according to the local cache. */
   ownership(slot: number, mintedAt: number): Ownership {
-    const held = this.cache.get(slot);
-    const cell = held && cells.cellAt(held.slot, mintedAt);
+    const cached = this.cache.get(slot);
+    const cell = cached && cells.cellAt(cached.slot, mintedAt);
     if (cell === undefined) {
-      const last = held && cells.lastCell(held.slot);
+      const last = cached && cells.lastCell(cached.slot);
       return last !== undefined && mintedAt < last.from
         ? {kind: 'never-owned'}
         : {kind: 'not-yet'};
@@ -96,22 +95,22 @@
     if (this.surrendered.has(slot)) {
       return {kind: 'surrendered'};
     }
-    const trusted = this.cellsWithRecords.get(slot)?.has(cell.from) ?? false;
-    return trusted ? {kind: 'mine'} : {kind: 'other', owner: cell.owner};
+    const hasRecords = this.cellsWithRecords.get(slot)?.has(cell.from) ?? false;
+    return hasRecords ? {kind: 'mine'} : {kind: 'other', owner: cell.owner};
   }
 
-  /** The slots as this process knows them. */
+  /** All cells in the local cache. */
   listCells(): {slot: number; cell: types.Cell}[] {
-    const table: {slot: number; cell: types.Cell}[] = [];
-    for (const [slot, held] of this.cache) {
-      for (const cell of held.slot.cells) {
-        table.push({slot, cell});
+    const listed: {slot: number; cell: types.Cell}[] = [];
+    for (const [slot, cached] of this.cache) {
+      for (const cell of cached.slot.cells) {
+        listed.push({slot, cell});
       }
     }
-    return table;
+    return listed;
   }
 
-  /** Slots whose newest cell is this incarnation's own and in force. */
+  /** Slots whose last cell this incarnation owns and has not surrendered. */
   ownSlots(): number[] {
     const slots: number[] = [];
     for (const slot of this.cache.keys()) {
@@ -122,35 +121,35 @@
     return slots;
   }
 
-  /** From now on this process neither runs nor burns keys of the slot. */
+  /** Stops running and burning keys of the slot, for good. */
   surrender(slot: number): void {
     this.surrendered.add(slot);
   }
 
-  /** This process holds the record of the slot's cell that starts there. */
+  /** Notes that this process holds the key records of the cell starting at `from`. */
   markRecordsHeld(slot: number, from: number): void {
-    const starts = this.cellsWithRecords.get(slot) ?? new Set<number>();
-    this.cellsWithRecords.set(slot, starts.add(from));
+    const cellStarts = this.cellsWithRecords.get(slot) ?? new Set<number>();
+    this.cellsWithRecords.set(slot, cellStarts.add(from));
   }
 
-  /** Writes the hand-over of a surrendered slot. */
+  /** Writes the successor of a surrendered slot to the store. */
   async handOver(
     slot: number,
     successor: types.Owner,
   ): Promise<Result<void, PlatformError | cells.CellError>> {
-    const held = this.cache.get(slot);
-    if (held === undefined || !this.surrendered.has(slot)) {
+    const cached = this.cache.get(slot);
+    if (cached === undefined || !this.surrendered.has(slot)) {
       return fail({kind: 'not-owner'});
     }
-    const next = cells.handOver(held.slot, this.self.incarnation, successor);
+    const next = cells.handOver(cached.slot, this.self.incarnation, successor);
     if (!next.ok) {
       return next;
     }
-    const written = await this.write(slot, next.value, held.version);
+    const written = await this.write(slot, next.value, cached.version);
     return written.ok ? ok(undefined) : written;
   }
 
-  /** Reads one slot from the store, now. */
+  /** Rereads one slot from the store; false if the store is unavailable. */
   async refresh(slot: number): Promise<boolean> {
     const key = types.slotStoreKey(this.settings().service, slot);
     const read = await this.store.get(key);
@@ -163,7 +162,7 @@
     return true;
   }
 
-  /** Stops the upkeep and waits for the write under way. */
+  /** Stops the upkeep and waits for the current round to end. */
   async close(): Promise<void> {
     this.closed = true;
     clearTimeout(this.timer);
@@ -184,7 +183,7 @@
     this.timer = setTimeout(() => this.triggerUpkeep(), delayMs);
   }
 
-  /** One round of upkeep. Answers milliseconds until the next. */
+  /** Runs one round of upkeep and returns the delay to the next, in ms. */
   private async upkeepSlots(): Promise<number> {
     const prefix = types.slotStorePrefix(this.settings().service);
     if (this.needsListing()) {
@@ -205,8 +204,8 @@
     const {slots} = this.settings();
     const now = this.clock.now();
     for (let slot = 0; slot < slots; slot += 1) {
-      const held = this.cache.get(slot);
-      const isDue = held === undefined || this.canBeTaken(held.slot, now);
+      const cached = this.cache.get(slot);
+      const isDue = cached === undefined || this.canBeTaken(cached.slot, now);
       if (isDue && this.isAssignedHere(slot) && !this.isOwn(slot)) {
         return true;
       }
@@ -215,8 +214,8 @@
   }
 
   private isOwn(slot: number): boolean {
-    const held = this.cache.get(slot);
-    const last = held && cells.lastCell(held.slot);
+    const cached = this.cache.get(slot);
+    const last = cached && cells.lastCell(cached.slot);
     return last?.owner.incarnation === this.self.incarnation;
   }
 
@@ -237,8 +236,8 @@
   }
 
   /**
-   * A process that holds the same address on the same boot can only live
-   * after the one that held it before has ended.
+   * True if the owner has terminated: this process listens at the owner's address
+   * on the same boot, which is possible only after the owner has released it.
    */
   private isDeadPredecessor(owner: types.Owner): boolean {
     return (
@@ -248,38 +247,38 @@
     );
   }
 
-  /** Answers false where the slot must be tried again soon. */
+  /** Takes or extends a slot if due; false if it must be retried soon. */
   private async upkeepSlot(slot: number): Promise<boolean> {
     const now = this.clock.now();
-    const held = this.cache.get(slot);
-    const last = held && cells.lastCell(held.slot);
-    if (held && last && this.isOwn(slot)) {
+    const cached = this.cache.get(slot);
+    const last = cached && cells.lastCell(cached.slot);
+    if (cached && last && this.isOwn(slot)) {
       const {termMs} = this.settings();
-      const due = last.until - now <= termMs * EXTEND_AT_SHARE;
-      const keep = !this.surrendered.has(slot);
-      return due && keep ? this.extendSlot(slot, held) : true;
+      const isDue = last.until - now <= termMs * EXTEND_AT_SHARE;
+      const isKept = !this.surrendered.has(slot);
+      return isDue && isKept ? this.extendSlot(slot, cached) : true;
     }
-    if (held && last && this.isDeadPredecessor(last.owner)) {
-      return this.endPredecessorCell(slot, held, last.owner);
+    if (cached && last && this.isDeadPredecessor(last.owner)) {
+      return this.endPredecessorCell(slot, cached, last.owner);
     }
     if (!this.isAssignedHere(slot)) {
       return true;
     }
-    return this.takeSlot(slot, held);
+    return this.takeSlot(slot, cached);
   }
 
-  private async extendSlot(slot: number, held: CachedSlot): Promise<boolean> {
+  private async extendSlot(slot: number, cached: CachedSlot): Promise<boolean> {
     const {termMs, retentionMs} = this.settings();
     const now = this.clock.now();
     const next = cells.extend(
-      cells.prune(held.slot, now - retentionMs),
+      cells.prune(cached.slot, now - retentionMs),
       this.self.incarnation,
       now + termMs,
     );
     if (!next.ok) {
       return true;
     }
-    const written = await this.write(slot, next.value, held.version);
+    const written = await this.write(slot, next.value, cached.version);
     if (!written.ok && written.error.kind !== 'conflict') {
       this.log.event('cellExtensionLate', {slot, error: written.error.kind});
     }
@@ -288,12 +287,12 @@
 
   private async endPredecessorCell(
     slot: number,
-    held: CachedSlot,
+    cached: CachedSlot,
     predecessor: types.Owner,
   ): Promise<boolean> {
-    const reading = cells.readClockOf(predecessor.anchor, monotonicMs());
-    const at = reading + predecessor.leadMs + 1;
-    const cut = cells.cutShort(held.slot, predecessor.incarnation, at);
+    const predecessorNow = cells.readClockOf(predecessor.anchor, monotonicMs());
+    const at = predecessorNow + predecessor.leadMs + 1;
+    const cut = cells.cutShort(cached.slot, predecessor.incarnation, at);
     if (!cut.ok) {
       return true;
     }
@@ -303,7 +302,7 @@
       ? cells.take(cut.value, this.self, now, now + termMs, Infinity)
       : cut;
     const next = taken.ok ? taken.value : cut.value;
-    const written = await this.write(slot, next, held.version);
+    const written = await this.write(slot, next, cached.version);
     if (written.ok) {
       this.log.event('cellCut', {slot, until: at});
     }
@@ -312,13 +311,13 @@
 
   private async takeSlot(
     slot: number,
-    held: CachedSlot | undefined,
+    cached: CachedSlot | undefined,
   ): Promise<boolean> {
     const {termMs, retentionMs} = this.settings();
     const now = this.clock.now();
-    const before = held?.slot ?? cells.EMPTY_SLOT;
+    const current = cached?.slot ?? cells.EMPTY_SLOT;
     const next = cells.take(
-      cells.prune(before, now - retentionMs),
+      cells.prune(current, now - retentionMs),
       this.self,
       now,
       now + termMs,
@@ -327,7 +326,7 @@
     if (!next.ok) {
       return true;
     }
-    const written = await this.write(slot, next.value, held?.version ?? 0);
+    const written = await this.write(slot, next.value, cached?.version ?? 0);
     if (written.ok) {
       const from = cells.lastCell(next.value)?.from;
       this.log.event('cellTaken', {slot, from});
@@ -336,8 +335,8 @@
   }
 
   /**
-   * Writes a slot. Cells that this write makes this process's own are
-   * trusted: no earlier life of this incarnation ran a key of them.
+   * Writes a slot. The records of this incarnation's cells in it are complete,
+   * since no other process has run their keys.
    */
   private async write(
     slot: number,
@@ -374,8 +373,8 @@
     if (!parsed.success || !Number.isInteger(slot)) {
       return;
     }
-    const held = this.cache.get(slot);
-    if (held !== undefined && held.version >= item.version) {
+    const cached = this.cache.get(slot);
+    if (cached !== undefined && cached.version >= item.version) {
       return;
     }
     const wasOwn = this.isOwn(slot);
@@ -390,8 +389,8 @@
     const {slots, termMs} = this.settings();
     let soonest = now + MAX_UPKEEP_INTERVAL_MS;
     for (let slot = 0; slot < slots; slot += 1) {
-      const held = this.cache.get(slot);
-      const last = held && cells.lastCell(held.slot);
+      const cached = this.cache.get(slot);
+      const last = cached && cells.lastCell(cached.slot);
       if (last === undefined) {
         continue;
       }
--- a/src/claims/types.ts
+++ b/src/claims/types.ts
@@ -1,22 +1,24 @@
 /**
- * At most once without a store write per request.
+ * Stored types of key ownership: at-most-once execution without a store write
+ * per request.
  *
- * A caller's key is a UUIDv7. Its random bits choose a slot of the service,
- * its minting time chooses a cell of that slot, and each cell is owned by
- * one incarnation of one sidecar, for good. Cells of a slot never overlap,
- * since the slot changes only by conditional update of one store object.
+ * A request key is a UUIDv7. Its random bits select a slot of the service; its
+ * minting time selects a cell, an interval of minting times within the slot.
+ * One incarnation of one sidecar owns each cell until it hands the cell over.
+ * Cells of a slot never overlap, because a slot is one store object that changes
+ * only by conditional update.
  */
 import * as v from 'valibot';
 import {addressSchema} from '../http/address';
 
-/** Key prefix of the slots in the platform's store. */
+/** Prefix of the slots' store keys. */
 export const CLAIMS_PREFIX = 'claims/';
 
 const timeSchema = v.pipe(v.number(), v.integer(), v.minValue(0));
 
 /**
- * A process's wall clock tied to the boot's monotonic one, so that a later
- * process of the same boot can tell exactly what the former would read.
+ * One reading of a process's wall clock and of the boot's monotonic clock. A
+ * later process of the same boot computes from it what that wall clock reads.
  */
 export const clockAnchorSchema = v.object({
   wallMs: timeSchema,
@@ -24,19 +26,19 @@
 });
 export type ClockAnchor = v.InferOutput<typeof clockAnchorSchema>;
 
-/** One life of one sidecar process. */
+/** One incarnation (process lifetime) of a sidecar. */
 export const ownerSchema = v.object({
   incarnation: v.string(),
   targetId: v.string(),
   address: addressSchema,
   bootId: v.string(),
   anchor: clockAnchorSchema,
-  /** The greatest lead of minting time that this owner ever accepts. */
+  /** Furthest ahead of its clock that this owner accepts a minting time. */
   leadMs: timeSchema,
 });
 export type Owner = v.InferOutput<typeof ownerSchema>;
 
-/** Minting times [from, until) in Unix milliseconds, and who owns them. */
+/** The minting times [from, until), Unix milliseconds, and their owner. */
 export const cellSchema = v.object({
   from: timeSchema,
   until: timeSchema,
@@ -44,11 +46,10 @@
 });
 export type Cell = v.InferOutput<typeof cellSchema>;
 
-/** A slot: its cells in order of time. */
+/** A slot's cells, in order of time. */
 export const slotSchema = v.object({cells: v.array(cellSchema)});
 export type Slot = v.InferOutput<typeof slotSchema>;
 
-/** Where a slot lies in the store. */
 export function slotStoreKey(service: string, slot: number): string {
   return `${slotStorePrefix(service)}${String(slot).padStart(4, '0')}`;
 }
@@ -57,7 +58,7 @@
   return `${CLAIMS_PREFIX}${service}/`;
 }
 
-/** The slot's number in a store key. */
+/** The slot number in a store key; not validated. */
 export function slotOfStoreKey(key: string): number {
   return Number(key.slice(key.lastIndexOf('/') + 1));
 }
