--- a/src/claims/keyed-runs.ts
+++ b/src/claims/keyed-runs.ts
@@ -55,7 +55,7 @@
   private oldestAccepted = 0;
 
   constructor(
-    private readonly keeper: SlotManager,
+    private readonly slotManager: SlotManager,
     private readonly clock: SteadyClock,
     private readonly slots: () => number,
     private readonly retentionMs: () => number,
@@ -97,10 +97,10 @@
 
   /** Waits until the slot's runs in progress have ended. */
   async waitForRuns(slot: number): Promise<void> {
-    const ends = [...this.activeRuns.values()]
+    const results = [...this.activeRuns.values()]
       .filter(running => running.slot === slot)
       .map(running => running.end);
-    await Promise.all(ends);
+    await Promise.all(results);
   }
 
   get runningCount(): number {
@@ -115,7 +115,7 @@
   /** Undefined if this owner has no record of the key and may burn it. */
   private stateOf(account: string, key: keys.RequestKey): KeyState | undefined {
     const slot = keys.slotOf(key, this.slots());
-    const ownership = this.keeper.ownership(slot, key.mintedAt);
+    const ownership = this.slotManager.ownership(slot, key.mintedAt);
     if (this.isTooOld(key)) {
       return 'unknown';
     }
@@ -143,7 +143,7 @@
    * records are lost, so the outcomes of its keys are unknown.
    */
   private isPreviousIncarnation(owner: Owner): boolean {
-    const {address, incarnation} = this.keeper.self;
+    const {address, incarnation} = this.slotManager.self;
     return owner.address === address && owner.incarnation !== incarnation;
   }
 
@@ -158,7 +158,7 @@
   }
 
   private isTooFarAhead(key: keys.RequestKey): boolean {
-    return key.mintedAt > this.clock.now() + this.keeper.self.leadMs;
+    return key.mintedAt > this.clock.now() + this.slotManager.self.leadMs;
   }
 
   private refusalOf(call: KeyedCall): KeyRefusal | undefined {
@@ -170,7 +170,7 @@
       return {kind: 'key-ahead', leadMs};
     }
     const slot = keys.slotOf(call.key, this.slots());
-    const ownership = this.keeper.ownership(slot, call.key.mintedAt);
+    const ownership = this.slotManager.ownership(slot, call.key.mintedAt);
     switch (ownership.kind) {
       case 'mine':
         return undefined;
--- a/src/claims/slot-manager.ts
+++ b/src/claims/slot-manager.ts
@@ -335,8 +335,8 @@
   }
 
   /**
-   * Writes a slot. The records of this incarnation's cells in it are complete,
-   * since no other process has run their keys.
+   * Writes a slot. No other process has run keys of a cell that the write takes,
+   * so its key records count as held.
    */
   private async write(
     slot: number,
--- a/src/requests/admission.test.ts
+++ b/src/requests/admission.test.ts
@@ -3,7 +3,7 @@
 import type {Result} from '../result';
 import {RETURN_MS} from '../targets/rest';
 
-function applicant(): AdmissionRequest {
+function makeRequest(): AdmissionRequest {
   return {
     account: 'a',
     weight: 1,
@@ -13,17 +13,17 @@
   };
 }
 
-function kindOf(entered: Result<Ticket, Refusal>): string {
-  return entered.ok ? 'let-in' : entered.error.kind;
+function kindOf(admitted: Result<Ticket, Refusal>): string {
+  return admitted.ok ? 'admitted' : admitted.error.kind;
 }
 
-function release(entered: Result<Ticket, Refusal>): void {
-  if (entered.ok) {
-    entered.value.release();
+function release(admitted: Result<Ticket, Refusal>): void {
+  if (admitted.ok) {
+    admitted.value.release();
   }
 }
 
-describe('the admission to a target that has asked for rest', () => {
+describe('admission to a target in a cooldown', () => {
   beforeEach(() => jest.useFakeTimers());
   afterEach(() => jest.useRealTimers());
 
@@ -31,61 +31,61 @@
     return new Admission(() => ({capacity: 4, maxQueued: 10}));
   }
 
-  it('refuses at once, with when it is over', async () => {
+  it('refuses at once and says when the cooldown ends', async () => {
     const admission = makeAdmission();
     expect(admission.startCooldown(2_000)).toBe(true);
     jest.advanceTimersByTime(500);
-    const entered = await admission.admit(applicant());
-    expect(entered).toMatchObject({
+    const admitted = await admission.admit(makeRequest());
+    expect(admitted).toMatchObject({
       ok: false,
       error: {kind: 'resting', outcome: 'not-run'},
     });
-    const retryAfterMs = entered.ok ? 0 : entered.error.retryAfterMs!;
+    const retryAfterMs = admitted.ok ? 0 : admitted.error.retryAfterMs!;
     expect(retryAfterMs).toBeGreaterThanOrEqual(1_500);
     expect(retryAfterMs).toBeLessThanOrEqual(1_700);
     expect(admission.startCooldown(10)).toBe(false);
   });
 
-  it('refuses what is queued as the target asks', async () => {
+  it('refuses queued requests when the cooldown starts', async () => {
     const admission = makeAdmission();
-    const entering = Array.from({length: 6}, () =>
-      admission.admit(applicant()),
+    const admitting = Array.from({length: 6}, () =>
+      admission.admit(makeRequest()),
     );
     expect(admission.queuedCount).toBe(2);
     admission.startCooldown(2_000);
     expect(admission.queuedCount).toBe(0);
-    const kinds = (await Promise.all(entering)).map(kindOf);
+    const kinds = (await Promise.all(admitting)).map(kindOf);
     expect(kinds.slice(4)).toEqual(['resting', 'resting']);
   });
 
-  it('lets one in at a time after it, until one is taken', async () => {
+  it('admits one request at a time after it, until one is accepted', async () => {
     const admission = makeAdmission();
     admission.startCooldown(1_000);
     jest.advanceTimersByTime(1_101);
     const sentAt = performance.now();
-    const entering = Array.from({length: 5}, () =>
-      admission.admit(applicant()),
+    const admitting = Array.from({length: 5}, () =>
+      admission.admit(makeRequest()),
     );
     expect(admission.runningCount).toBe(1);
-    release(await entering[0]!);
+    release(await admitting[0]!);
     expect(admission.runningCount).toBe(1);
     admission.noteAccepted(sentAt);
     expect(admission.runningCount).toBe(4);
-    expect((await Promise.all(entering)).map(kindOf)).toEqual(
-      entering.map(() => 'let-in'),
+    expect((await Promise.all(admitting)).map(kindOf)).toEqual(
+      admitting.map(() => 'admitted'),
     );
   });
 
-  it('lets the others in where the one that is tried hangs', async () => {
+  it('admits the others if the one admitted request hangs', async () => {
     const admission = makeAdmission();
     admission.startCooldown(1_000);
     jest.advanceTimersByTime(1_101);
-    const entering = Array.from({length: 4}, () =>
-      admission.admit(applicant()),
+    const admitting = Array.from({length: 4}, () =>
+      admission.admit(makeRequest()),
     );
     expect(admission.runningCount).toBe(1);
     jest.advanceTimersByTime(RETURN_MS);
     expect(admission.runningCount).toBe(4);
-    await Promise.all(entering);
+    await Promise.all(admitting);
   });
 });
--- a/src/requests/admission.ts
+++ b/src/requests/admission.ts
@@ -1,8 +1,8 @@
 /**
- * Admission to one target: run now, queue, or refuse at once. A request is
- * refused as soon as its deadline cannot be met any more, and is told when a
- * try will find room. A target that has asked for rest gets nothing until it is
- * over, and then one request at a time until it has taken one.
+ * Admission control for one target: a request runs, is queued, or is refused. It
+ * is refused once its deadline cannot be met, with the time after which to retry.
+ * During a cooldown that the target requested all requests are refused; after it
+ * one runs at a time until the target has accepted one or a time limit passes.
  */
 import {Result, fail, ok} from '../result';
 import * as fairQueue from './fair-queue';
@@ -10,7 +10,6 @@
 import * as refusals from './refusals';
 import {RetryReservations} from './retry-reservations';
 
-/** A request that asks to be let in. */
 export interface AdmissionRequest {
   readonly account: string;
   readonly weight: number;
@@ -18,18 +17,17 @@
   readonly cost: number;
   /** Unix milliseconds. */
   readonly deadlineAt: number;
-  /** True: the caller says that it comes back as it was told to. */
+  /** True if the caller states that this is the retry it was told to make. */
   readonly isReservedRetry?: boolean;
 }
 
-/** Limits of a target. */
 export interface AdmissionSettings {
-  /** Requests that the target works on at once. */
+  /** Maximum number of concurrent requests. */
   readonly capacity: number;
   readonly maxQueued: number;
 }
 
-/** Room at the target; `release` gives it back, once. */
+/** One unit of the target's capacity; only the first `release` has effect. */
 export interface Ticket {
   /** Milliseconds spent in the queue. */
   readonly waitedMs: number;
@@ -45,9 +43,11 @@
 
 const EWMA_ALPHA = 0.1;
 const INITIAL_SERVICE_MS = 50;
-/** Share of the deadline that a newcomer may wait while a line stands. */
+/**
+ * Share of the remaining time that a request may wait in the queue while the
+ * account has reservations that it does not use.
+ */
 const MAX_UNRESERVED_WAIT_SHARE = 0.3;
-/** Predicted waits are learnt from: longest correction either way. */
 const MIN_WAIT_CORRECTION = 0.5;
 const MAX_WAIT_CORRECTION = 4;
 const MIN_PREDICTED_WAIT_MS = 1;
@@ -57,20 +57,23 @@
   private readonly queue = new fairQueue.FairQueue<QueuedRequest>();
   private running = 0;
   private serviceMs = INITIAL_SERVICE_MS;
-  /** By how much waits turn out longer than predicted. */
+  /** Moving average of observed over predicted wait. */
   private waitCorrection = 1;
   private readonly reservations = new RetryReservations();
   private readonly completionRates = new Map<string, DecayingRate>();
   private stopRefusal: refusals.Refusal | undefined;
-  /** What the target has asked for. */
   private readonly cooldown = new Rest();
   private cooldownTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly settings: () => AdmissionSettings) {}
 
-  /** Asks for room. Fails with `overloaded`, `deadline-...`, `resting`... */
+  /**
+   * Waits until the request may run. Fails with `overloaded`,
+   * `deadline-unreachable`, `deadline-exceeded` (the caller disconnected),
+   * `resting` or the refusal given to `stop`.
+   */
   admit(
-    applicant: AdmissionRequest,
+    request: AdmissionRequest,
     signal?: AbortSignal,
   ): Promise<Result<Ticket, refusals.Refusal>> {
     if (this.stopRefusal !== undefined) {
@@ -81,46 +84,46 @@
     }
     const now = Date.now();
     const hasDueReservation =
-      applicant.isReservedRetry === true &&
-      this.reservations.consumeDue(applicant.account, now);
+      request.isReservedRetry === true &&
+      this.reservations.consumeDue(request.account, now);
     if (this.running < this.capacity && this.queue.size === 0) {
-      return Promise.resolve(ok(this.start(applicant.account, 0)));
+      return Promise.resolve(ok(this.start(request.account, 0)));
     }
-    if (!hasDueReservation && this.mustYieldToReservations(applicant, now)) {
-      const refusal = this.deadlineRefusal(applicant, this.expectedWaitMs);
+    if (!hasDueReservation && this.mustYieldToReservations(request, now)) {
+      const refusal = this.deadlineRefusal(request, this.expectedWaitMs);
       return Promise.resolve(fail(refusal));
     }
     return new Promise(settle => {
-      const waiting: QueuedRequest = {
-        ...applicant,
+      const queued: QueuedRequest = {
+        ...request,
         queuedAt: Date.now(),
         settle,
         timer: undefined,
         predictedWaitMs: 0,
       };
-      this.enqueue(waiting, signal);
+      this.enqueue(queued, signal);
     });
   }
 
   /**
-   * The target asks for so many milliseconds of rest: what is queued is refused
-   * at once. True where it was at none.
+   * Starts or extends the target's cooldown, in milliseconds, and refuses all
+   * queued requests. True if no cooldown was active.
    */
   startCooldown(ms: number): boolean {
     const now = performance.now();
     const isNew = !this.cooldown.isResting(now);
     this.cooldown.ask(ms, now);
-    // Who waits behind a trial that hangs is let in then.
+    // Lets in requests queued behind a trial that does not end.
     clearTimeout(this.cooldownTimer);
     const leftMs = Math.ceil(this.cooldown.leftMs(now));
     this.cooldownTimer = setTimeout(() => this.startNext(), leftMs);
     this.cooldownTimer.unref();
     const refusal = this.cooldownRefusal();
-    [...this.queue.items()].forEach(waiting => this.refuse(waiting, refusal));
+    [...this.queue.items()].forEach(queued => this.refuse(queued, refusal));
     return isNew;
   }
 
-  /** The target has taken a request that was sent at a monotonic time. */
+  /** Notes that the target accepted a request; `sentAt` is monotonic time. */
   noteAccepted(sentAt: number): void {
     this.cooldown.noteTaken(sentAt);
     this.startNext();
@@ -134,21 +137,21 @@
     return this.queue.size;
   }
 
-  /** Milliseconds that a request of no priority would wait now. */
+  /** Expected wait at the end of the queue, in milliseconds. */
   get expectedWaitMs(): number {
     return this.predictWaitMs(this.queue.size);
   }
 
-  /** Refuses what is queued and all that comes. */
+  /** Refuses all queued and all later requests. */
   stop(refusal: refusals.Refusal): void {
     this.stopRefusal = refusal;
     clearTimeout(this.cooldownTimer);
-    for (const waiting of this.queue.items()) {
-      this.refuse(waiting, refusal);
+    for (const queued of this.queue.items()) {
+      this.refuse(queued, refusal);
     }
   }
 
-  /** Requests that the target may have now. */
+  /** Maximum number of concurrent requests now; 1 after a cooldown. */
   private get capacity(): number {
     const {capacity} = this.settings();
     return this.cooldown.isReturning(performance.now())
@@ -159,54 +162,51 @@
   private cooldownRefusal(): refusals.Refusal {
     return refusals.notRun(
       'resting',
-      'the target has asked for rest',
+      'the target is in a cooldown',
       this.cooldown.waitMs(performance.now()),
     );
   }
 
-  private enqueue(waiting: QueuedRequest, signal?: AbortSignal): void {
-    const waitMs = this.predictWaitMs(this.queue.countAhead(waiting));
-    const slackMs = waiting.deadlineAt - Date.now() - this.serviceMs;
-    waiting.predictedWaitMs = waitMs;
+  private enqueue(queued: QueuedRequest, signal?: AbortSignal): void {
+    const waitMs = this.predictWaitMs(this.queue.countAhead(queued));
+    const slackMs = queued.deadlineAt - Date.now() - this.serviceMs;
+    queued.predictedWaitMs = waitMs;
     if (waitMs * this.waitCorrection > slackMs) {
-      waiting.settle(fail(this.deadlineRefusal(waiting, waitMs)));
+      queued.settle(fail(this.deadlineRefusal(queued, waitMs)));
       return;
     }
     if (this.queue.size >= this.settings().maxQueued) {
-      const isLast = this.queue.countAhead(waiting) >= this.queue.size;
-      const displaced = isLast ? waiting : this.queue.last()!;
+      const isLast = this.queue.countAhead(queued) >= this.queue.size;
+      const displaced = isLast ? queued : this.queue.last()!;
       this.refuse(displaced, this.overloadRefusal(displaced));
       if (isLast) {
         return;
       }
     }
-    this.queue.push(waiting);
-    waiting.timer = setTimeout(
-      () => this.expire(waiting),
-      Math.max(slackMs, 0),
-    );
-    signal?.addEventListener('abort', () => this.cancelQueued(waiting), {
+    this.queue.push(queued);
+    queued.timer = setTimeout(() => this.expire(queued), Math.max(slackMs, 0));
+    signal?.addEventListener('abort', () => this.cancelQueued(queued), {
       once: true,
     });
   }
 
-  private cancelQueued(waiting: QueuedRequest): void {
+  private cancelQueued(queued: QueuedRequest): void {
     this.refuse(
-      waiting,
-      refusals.notRun('deadline-exceeded', 'the caller went away'),
+      queued,
+      refusals.notRun('deadline-exceeded', 'the caller disconnected'),
     );
   }
 
-  private refuse(waiting: QueuedRequest, refusal: refusals.Refusal): void {
-    clearTimeout(waiting.timer);
-    this.queue.remove(waiting);
-    waiting.settle(fail(refusal));
+  private refuse(queued: QueuedRequest, refusal: refusals.Refusal): void {
+    clearTimeout(queued.timer);
+    this.queue.remove(queued);
+    queued.settle(fail(refusal));
   }
 
-  /** It will not make it: the prediction was too good. */
-  private expire(waiting: QueuedRequest): void {
-    this.updateWaitCorrection(waiting);
-    this.refuse(waiting, this.deadlineRefusal(waiting, this.expectedWaitMs));
+  /** Refuses a queued request that can no longer meet its deadline. */
+  private expire(queued: QueuedRequest): void {
+    this.updateWaitCorrection(queued);
+    this.refuse(queued, this.deadlineRefusal(queued, this.expectedWaitMs));
   }
 
   private start(account: string, waitedMs: number): Ticket {
@@ -227,14 +227,14 @@
 
   private startNext(): void {
     while (this.running < this.capacity) {
-      const waiting = this.queue.shift();
-      if (waiting === undefined) {
+      const queued = this.queue.shift();
+      if (queued === undefined) {
         return;
       }
-      clearTimeout(waiting.timer);
-      this.updateWaitCorrection(waiting);
-      const waitedMs = Date.now() - waiting.queuedAt;
-      waiting.settle(ok(this.start(waiting.account, waitedMs)));
+      clearTimeout(queued.timer);
+      this.updateWaitCorrection(queued);
+      const waitedMs = Date.now() - queued.queuedAt;
+      queued.settle(ok(this.start(queued.account, waitedMs)));
     }
   }
 
@@ -245,33 +245,30 @@
     rate.addEvent(Date.now());
   }
 
-  /** Others overtake who queues: how much so is learnt from what came. */
-  private updateWaitCorrection(waiting: QueuedRequest): void {
-    const waitedMs = Date.now() - waiting.queuedAt;
-    const predictedMs = Math.max(
-      waiting.predictedWaitMs,
-      MIN_PREDICTED_WAIT_MS,
-    );
-    const seen = Math.min(waitedMs / predictedMs, MAX_WAIT_CORRECTION);
-    this.waitCorrection += EWMA_ALPHA * (seen - this.waitCorrection);
+  /** Corrects predictions for requests that later ones overtake in the queue. */
+  private updateWaitCorrection(queued: QueuedRequest): void {
+    const waitedMs = Date.now() - queued.queuedAt;
+    const predictedMs = Math.max(queued.predictedWaitMs, MIN_PREDICTED_WAIT_MS);
+    const observed = Math.min(waitedMs / predictedMs, MAX_WAIT_CORRECTION);
+    this.waitCorrection += EWMA_ALPHA * (observed - this.waitCorrection);
     this.waitCorrection = Math.max(this.waitCorrection, MIN_WAIT_CORRECTION);
   }
 
-  /** While an account's callers wait their turn, newcomers don't pass. */
+  /** True if the request must be refused in favour of reserved retries. */
   private mustYieldToReservations(
-    applicant: AdmissionRequest,
+    request: AdmissionRequest,
     now: number,
   ): boolean {
-    const slackMs = applicant.deadlineAt - now - this.serviceMs;
+    const slackMs = request.deadlineAt - now - this.serviceMs;
     return (
-      this.reservations.hasAny(applicant.account, now) &&
-      this.predictWaitMs(this.countAheadOf(applicant)) >
+      this.reservations.hasAny(request.account, now) &&
+      this.predictWaitMs(this.countAheadOf(request)) >
         slackMs * MAX_UNRESERVED_WAIT_SHARE
     );
   }
 
-  private countAheadOf(applicant: AdmissionRequest): number {
-    return this.queue.countAhead(applicant as QueuedRequest);
+  private countAheadOf(request: AdmissionRequest): number {
+    return this.queue.countAhead(request as QueuedRequest);
   }
 
   private predictWaitMs(ahead: number): number {
@@ -283,43 +280,47 @@
   }
 
   private deadlineRefusal(
-    applicant: AdmissionRequest,
+    request: AdmissionRequest,
     waitMs: number,
   ): refusals.Refusal {
     return refusals.notRun(
       'deadline-unreachable',
-      `the wait would be ${Math.ceil(waitMs)} ms`,
-      this.reserveRetry(applicant),
+      `the expected wait is ${Math.ceil(waitMs)} ms`,
+      this.reserveRetry(request),
     );
   }
 
-  private overloadRefusal(applicant: AdmissionRequest): refusals.Refusal {
+  private overloadRefusal(request: AdmissionRequest): refusals.Refusal {
     return refusals.notRun(
       'overloaded',
       `${this.queue.size} requests are queued`,
-      this.reserveRetry(applicant),
+      this.reserveRetry(request),
     );
   }
 
-  /** Milliseconds after which to come back: the next place in the line. */
-  private reserveRetry(applicant: AdmissionRequest): number {
+  /** Reserves the account's next free time; returns the delay until it, in ms. */
+  private reserveRetry(request: AdmissionRequest): number {
     const now = Date.now();
     const {capacity} = this.settings();
-    const whole = capacity / this.serviceMs;
-    const own = this.completionRates.get(applicant.account)?.perMs(now) ?? 0;
-    const rate = Math.max(own, whole / Math.max(this.completionRates.size, 1));
-    const soonest = now + this.expectedWaitMs;
+    const totalRate = capacity / this.serviceMs;
+    const accountRate =
+      this.completionRates.get(request.account)?.perMs(now) ?? 0;
+    const rate = Math.max(
+      accountRate,
+      totalRate / Math.max(this.completionRates.size, 1),
+    );
+    const earliest = now + this.expectedWaitMs;
     const time = this.reservations.reserve(
-      applicant.account,
+      request.account,
       now,
-      soonest,
+      earliest,
       1 / rate,
     );
     return time - now;
   }
 }
 
-/** Events a millisecond, decayed. */
+/** Exponentially decayed event rate, per millisecond. */
 class DecayingRate {
   private count = 0;
   private updatedAt = 0;
--- a/src/requests/chat-request.ts
+++ b/src/requests/chat-request.ts
@@ -1,4 +1,4 @@
-/** What ferrycleat reads of a chat completion; all else passes unread. */
+/** Parses the fields of a chat completion request that routing needs. */
 import * as v from 'valibot';
 import * as body from '../http/body';
 import {Result, fail, ok} from '../result';
@@ -15,11 +15,10 @@
   stream: v.optional(v.boolean(), false),
 });
 
-/** The parts of a chat completion that routing needs. */
 export interface ChatRequest {
   readonly model: string;
   readonly stream: boolean;
-  /** All messages' contents, in order. */
+  /** The contents of all messages in order, joined by newlines. */
   readonly prompt: string;
 }
 
@@ -28,11 +27,11 @@
 /** Path under which a sidecar resumes and cancels streams. */
 export const STREAMS_PATH = '/v1/streams/';
 
-/** Reads a chat completion. Fails with `bad-request`. */
+/** Fails with `bad-request`. */
 export function parseChat(text: Buffer): Result<ChatRequest, refusals.Refusal> {
   const json = body.parseJson(text.toString('utf8'));
   if (!json.ok) {
-    return fail(refusals.notRun('bad-request', 'the body is no JSON'));
+    return fail(refusals.notRun('bad-request', 'the body is not valid JSON'));
   }
   const parsed = v.safeParse(chatSchema, json.value);
   if (!parsed.success) {
--- a/src/requests/entry-chat.ts
+++ b/src/requests/entry-chat.ts
@@ -1,16 +1,16 @@
-/** An entry's side of chat completions: route, stream, resume, reconnect. */
+/** An entry's part of chat completions: routes, streams, resumes, reconnects. */
 import type * as http from 'node:http';
 import * as body from '../http/body';
 import * as httpClient from '../http/client';
 import * as prefixes from '../routing/prefixes';
 import type {Known} from '../targets/directory';
-import * as assistant from './chat-request';
+import * as chatRequest from './chat-request';
 import * as entry from './entry-context';
 import * as forwarding from './entry-forward';
 import * as eventStream from './event-stream';
 import * as refusals from './refusals';
 import {ReorderBuffer} from './reorder-buffer';
-import * as answers from './responses';
+import * as responses from './responses';
 
 const RESUME_TIMEOUT_MS = 4_000;
 const RESUME_RETRY_INTERVAL_MS = 150;
@@ -20,14 +20,14 @@
 export async function runChat(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
-  chat: assistant.ChatRequest,
+  chat: chatRequest.ChatRequest,
   payload: Buffer,
 ): Promise<void> {
   const prefix = prefixes.digestPrefix(`${caller.account.id}\n${chat.prompt}`);
   const promptTokens = prefixes.estimateTokens(chat.prompt);
   const sent = await forwarding.forward(context, caller, {
     method: 'POST',
-    path: assistant.CHAT_PATH,
+    path: chatRequest.CHAT_PATH,
     payload,
     routed: {
       account: caller.account.id,
@@ -44,7 +44,7 @@
   const {target, res, done} = sent.value;
   context.prefixes.noteSent(prefix, target.id, promptTokens);
   try {
-    await (answers.isEventStream(res)
+    await (responses.isEventStream(res)
       ? relayStream(context, caller, target, res, 0)
       : entry.relayResponse(context, caller, res, 'assistant'));
   } finally {
@@ -52,7 +52,7 @@
   }
 }
 
-/** Goes on with a stream that the caller lost, by its last event's id. */
+/** Continues a stream after the last event that the caller has received. */
 export async function reconnect(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
@@ -61,12 +61,12 @@
   const event = eventStream.splitEventId(lastEventId);
   const stream = event && eventStream.splitStreamName(event.name);
   if (event === undefined || stream === undefined) {
-    const detail = 'Last-Event-ID is no event of a stream';
+    const detail = 'Last-Event-ID is not the ID of a stream event';
     entry.refuseCaller(context, caller, refusals.notRun('bad-request', detail));
     return;
   }
-  // The event's id tells that the target is there: an entry that has just
-  // started serves before the list has come that names it.
+  // Waits because an entry that has just started serves requests before it has
+  // received the list of targets.
   const target = await context.targets.whenFound(
     stream.target,
     Math.min(RESUME_TIMEOUT_MS, entry.remainingMs(caller)),
@@ -76,14 +76,18 @@
     entry.refuseCaller(
       context,
       caller,
-      streamLostRefusal('its target is unknown'),
+      streamLostRefusal('the target of the stream is unknown'),
     );
     return;
   }
   const owned = {...caller, id: stream.request};
   const res = await resumeAtTarget(context, owned, target, event.sequence);
   if (res === undefined) {
-    entry.refuseCaller(context, caller, streamLostRefusal('it is not kept'));
+    entry.refuseCaller(
+      context,
+      caller,
+      streamLostRefusal('the target no longer has the stream'),
+    );
     return;
   }
   await relayStream(context, owned, target, res, event.sequence);
@@ -97,7 +101,7 @@
   );
 }
 
-/** Passes events on until the end, resuming where a connection breaks. */
+/** Relays events until the stream ends, resuming broken connections. */
 async function relayStream(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
@@ -114,16 +118,16 @@
   });
   res.flushHeaders();
   const name = `${target.id}.${caller.id}`;
-  const gate = new ReorderBuffer<string>(after);
-  const meter = new TokenTimer(context, caller);
+  const buffer = new ReorderBuffer<string>(after);
+  const timer = new TokenTimer(context, caller);
   const deliver: eventStream.Deliver = (sequence, data) => {
-    meter.noteToken();
+    timer.noteToken();
     return eventStream.writeEvent(res, `${name}.${sequence}`, data);
   };
   let connection: http.IncomingMessage | undefined = first;
   res.once('close', () => connection?.destroy());
   while (connection !== undefined) {
-    const end = await eventStream.readEvents(connection, name, gate, deliver);
+    const end = await eventStream.readEvents(connection, name, buffer, deliver);
     if (res.destroyed) {
       caller.journalEntry.outcome = 'caller went away';
       context.log.event('callerGone', {request: caller.id});
@@ -136,9 +140,14 @@
     if (end.kind === 'foreign') {
       context.log.event('foreignAnswer', {request: caller.id, named: end.id});
     }
-    connection = await resumeAtTarget(context, caller, target, gate.delivered);
+    connection = await resumeAtTarget(
+      context,
+      caller,
+      target,
+      buffer.delivered,
+    );
   }
-  await abortStream(context, caller, target.id, gate.delivered);
+  await abortStream(context, caller, target.id, buffer.delivered);
 }
 
 async function finishStream(
@@ -151,13 +160,13 @@
     const error = body.parseJson(end.data);
     await eventStream.writeErrorEvent(caller.res, error.ok ? error.value : {});
   }
-  const wholeMs = Date.now() - caller.startedAt;
-  context.metrics.time('whole', caller.account.id, 'assistant', wholeMs);
+  const totalMs = Date.now() - caller.startedAt;
+  context.metrics.time('whole', caller.account.id, 'assistant', totalMs);
   context.metrics.count('answers_total', {kind: 'stream', end: end.kind});
   caller.res.end();
 }
 
-/** The stream cannot go on: the caller gets a typed error, never a stump. */
+/** Ends a stream that cannot be resumed with an error event. */
 async function abortStream(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
@@ -165,7 +174,7 @@
   delivered: number,
 ): Promise<void> {
   const refusal = streamLostRefusal(
-    `${target} lost it after event ${delivered}`,
+    `${target} lost the stream after event ${delivered}`,
   );
   caller.journalEntry.outcome = 'stream-lost';
   context.log.event('streamBroken', {request: caller.id, target, delivered});
@@ -175,7 +184,7 @@
   caller.res.end();
 }
 
-/** Tries for a while: a sidecar that restarts in place is soon back. */
+/** Resumes a stream; retries for RESUME_TIMEOUT_MS while the sidecar restarts. */
 async function resumeAtTarget(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
@@ -187,12 +196,12 @@
     const sent = await httpClient.send(context.agent, {
       address: target.address,
       method: 'GET',
-      path: `${assistant.STREAMS_PATH}${caller.id}?after=${after}`,
+      path: `${chatRequest.STREAMS_PATH}${caller.id}?after=${after}`,
       headers: entry.forwardHeaders(context, caller),
       timeoutMs: giveUpAt - Date.now(),
       signal: caller.signal,
     });
-    if (sent.ok && answers.isEventStream(sent.value)) {
+    if (sent.ok && responses.isEventStream(sent.value)) {
       const request = caller.id;
       context.log.event('streamResumed', {request, target: target.id, after});
       return sent.value;
@@ -200,7 +209,7 @@
     if (sent.ok) {
       const refusal = await entry.readRefusal(sent.value);
       sent.value.destroy();
-      // A sidecar that has just started refuses for want of configuration.
+      // A sidecar that has just started has no configuration yet: retry.
       if (refusal?.kind !== 'no-target') {
         return undefined;
       }
@@ -210,7 +219,7 @@
   return undefined;
 }
 
-/** Times first tokens and the gaps between tokens. */
+/** Measures the time to the first token and between tokens. */
 class TokenTimer {
   private lastAt = 0;
 
@@ -222,12 +231,12 @@
   noteToken(): void {
     const now = Date.now();
     const isFirst = this.lastAt === 0;
-    const since = isFirst ? this.caller.startedAt : this.lastAt;
+    const previousAt = isFirst ? this.caller.startedAt : this.lastAt;
     this.context.metrics.time(
       isFirst ? 'first_token' : 'between_tokens',
       this.caller.account.id,
       'assistant',
-      now - since,
+      now - previousAt,
     );
     this.lastAt = now;
   }
--- a/src/requests/entry-context.ts
+++ b/src/requests/entry-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of an entry's data path share. */
+/** Dependencies and helpers shared by the parts of an entry's data path. */
 import type * as http from 'node:http';
 import type {OwnerDirectory} from '../claims/owner-directory';
 import type {Follower} from '../configuration/follower';
@@ -18,7 +18,6 @@
 import type {Journal, JournalEntry} from './journal';
 import * as refusals from './refusals';
 
-/** One entry. */
 export interface EntryContext {
   readonly id: string;
   readonly hall: string;
@@ -36,7 +35,7 @@
   readonly journal: Journal;
 }
 
-/** A caller's request, authenticated and let in. */
+/** An authenticated request of a caller. */
 export interface CallerRequest {
   readonly req: http.IncomingMessage;
   readonly res: http.ServerResponse;
@@ -46,7 +45,7 @@
   /** Unix milliseconds. */
   readonly deadlineAt: number;
   readonly journalEntry: JournalEntry;
-  /** Fires when the caller goes away. */
+  /** Aborts when the caller disconnects. */
   readonly signal: AbortSignal;
 }
 
@@ -73,7 +72,7 @@
   };
 }
 
-/** Learns from an answer's headers: load, stamp, leaving. */
+/** Applies the configuration stamp and the load from a sidecar's headers. */
 export function applyResponseHeaders(
   context: EntryContext,
   target: Target | undefined,
@@ -91,7 +90,7 @@
   }
 }
 
-/** The refusal in a sidecar's answer, read from its problem document. */
+/** The refusal in a sidecar's response; undefined if it is not a refusal. */
 export async function readRefusal(
   res: http.IncomingMessage,
 ): Promise<refusals.Refusal | undefined> {
@@ -119,7 +118,7 @@
   };
 }
 
-/** Gives the caller its final answer: a refusal. */
+/** Sends a refusal as the final response, and logs and counts it. */
 export function refuseCaller(
   context: EntryContext,
   caller: CallerRequest,
@@ -137,7 +136,7 @@
   refusals.sendRefusal(caller.res, refusal, caller.id);
 }
 
-/** Passes a sidecar's whole answer on to the caller. */
+/** Relays a sidecar's response to the caller. */
 export async function relayResponse(
   context: EntryContext,
   caller: CallerRequest,
@@ -155,6 +154,6 @@
   const end = isWhole ? 'done' : 'cut';
   caller.journalEntry.outcome = end;
   context.metrics.count('answers_total', {kind, end});
-  const wholeMs = Date.now() - caller.startedAt;
-  context.metrics.time('whole', caller.account.id, kind, wholeMs);
+  const totalMs = Date.now() - caller.startedAt;
+  context.metrics.time('whole', caller.account.id, kind, totalMs);
 }
--- a/src/requests/entry-forward.ts
+++ b/src/requests/entry-forward.ts
@@ -1,6 +1,6 @@
 /**
- * Sends a request that may be repeated to a target, and to another one while
- * the budget and the deadline allow it.
+ * Forwards a repeatable request to a target and, if that fails, to other targets
+ * while the retry budget and the deadline allow it.
  */
 import type * as http from 'node:http';
 import * as body from '../http/body';
@@ -13,26 +13,26 @@
 import * as headers from './headers';
 import * as refusals from './refusals';
 
-/** What is sent to whichever target is chosen. */
+/** A request to forward to one of several targets. */
 export interface RoutableRequest {
   readonly method: string;
   readonly path: string;
   readonly payload: Buffer | undefined;
   readonly routed: RoutedRequest;
-  /** Targets that may take it; asked for again at each try. */
+  /** Targets that may take it; evaluated at each attempt. */
   readonly eligible: () => readonly Target[];
 }
 
-/** A target's answer that is no refusal. */
+/** A target's response that is not a refusal. */
 export interface ForwardedResponse {
   readonly target: Target;
   readonly res: http.IncomingMessage;
-  /** Must be called once the answer has ended. */
+  /** Call it when the response has ended. */
   readonly done: () => void;
 }
 
 const MAX_ATTEMPTS = 4;
-/** Between halls, one way. */
+/** Network delay between halls. */
 const ONE_WAY_DELAY_MS = 2;
 const RETRY_AFTER_MS = 1_000;
 /** Refusals after which another target may still take the request. */
@@ -45,7 +45,7 @@
   'not-found',
 ]);
 
-/** Fails with the refusal that the caller gets. */
+/** Fails with the refusal for the caller. */
 export async function forward(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
@@ -55,12 +55,12 @@
   const outcomes: refusals.Outcome[] = [];
   let last: refusals.Refusal | undefined;
   context.budget.noteFirstTry();
-  for (let tries = 0; tries < MAX_ATTEMPTS; tries += 1) {
+  for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
     const target = chooseTarget(context, caller, call, tried);
     if (target === undefined) {
       break;
     }
-    if (tries > 0 && !mayRetry(context, caller, last)) {
+    if (attempts > 0 && !mayRetry(context, caller, last)) {
       break;
     }
     tried.add(target.id);
@@ -69,7 +69,7 @@
       return attempt;
     }
     outcomes.push(attempt.error.outcome);
-    // What an earlier try may have done is not undone by a later refusal.
+    // An earlier attempt may have run even if a later one has not.
     last = {...attempt.error, outcome: refusals.worstOutcome(outcomes)};
     if (caller.signal.aborted || !FAILOVER_KINDS.has(last.kind)) {
       break;
@@ -78,17 +78,20 @@
   return fail(finalRefusal(context, call, last));
 }
 
-/** The refusal after all tries; where all targets rest, it tells for how long. */
+/**
+ * The refusal after all attempts; if all targets are in a cooldown, its retry time
+ * is the end of the cooldown with jitter.
+ */
 function finalRefusal(
   context: entry.EntryContext,
   call: RoutableRequest,
   last: refusals.Refusal | undefined,
 ): refusals.Refusal {
-  const restMs = context.targets.restMs(call.eligible());
-  if (restMs > 0 && (last === undefined || last.kind === 'resting')) {
+  const cooldownMs = context.targets.restMs(call.eligible());
+  if (cooldownMs > 0 && (last === undefined || last.kind === 'resting')) {
     const {outcome} = last ?? {outcome: 'not-run' as const};
-    const retryAfterMs = rests.spreadReturn(restMs);
-    const detail = 'all targets have asked for rest';
+    const retryAfterMs = rests.spreadReturn(cooldownMs);
+    const detail = 'all targets are in a cooldown';
     return {kind: 'resting', outcome, detail, retryAfterMs};
   }
   return (
@@ -96,7 +99,7 @@
   );
 }
 
-/** A `leaving` answer cost nothing, so its hop is free of the budget. */
+/** A retry after `leaving` does not use the budget, since it caused no load. */
 function mayRetry(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
@@ -124,21 +127,23 @@
 ): Target | undefined {
   const now = Date.now();
   const untried = call.eligible().filter(target => !tried.has(target.id));
-  const open = context.targets.awake(untried);
-  const probe = open.find(t => t.health.stateAt(now) === 'probing');
-  const healthy = open.filter(t => t.health.stateAt(now) === 'healthy');
-  const kept = open.find(target => target.id === reservedTargetId(caller));
-  if (kept !== undefined) {
-    recordAttempt(caller, kept.id, []);
-    return kept;
+  const available = context.targets.awake(untried);
+  const probe = available.find(t => t.health.stateAt(now) === 'probing');
+  const healthy = available.filter(t => t.health.stateAt(now) === 'healthy');
+  const reserved = available.find(
+    target => target.id === reservedTargetId(caller),
+  );
+  if (reserved !== undefined) {
+    recordAttempt(caller, reserved.id, []);
+    return reserved;
   }
   if (probe !== undefined && tried.size === 0) {
     probe.health.noteProbe();
     recordAttempt(caller, probe.id, []);
     return probe;
   }
-  // With everything ejected, a bad target is better than none.
-  const usable = healthy.length > 0 ? healthy : open;
+  // If all targets are ejected, use one of them rather than none.
+  const usable = healthy.length > 0 ? healthy : available;
   if (usable.length === 0) {
     return undefined;
   }
@@ -148,7 +153,7 @@
   return usable.find(target => target.id === decision.chosen);
 }
 
-/** The target that keeps a place for a caller that comes back. */
+/** The target that has reserved a time for this retry, according to the caller. */
 function reservedTargetId(caller: entry.CallerRequest): string | undefined {
   return body.headerOf(caller.req, headers.RETURN_HEADER);
 }
@@ -179,16 +184,16 @@
   now: number,
 ): Candidate {
   const {prefix} = call.routed;
-  // The report was made about one way before it arrived.
-  const unseen = target.sent.since(target.loadAt - ONE_WAY_DELAY_MS);
+  // The load was measured one network delay before it arrived.
+  const sentSinceLoad = target.sent.since(target.loadAt - ONE_WAY_DELAY_MS);
   return {
     id: target.id,
     group: target.serves.kind === 'model' ? target.serves.group : '',
     hall: target.hall,
     load: target.load,
     loadAgeMs: now - target.loadAt,
-    sentSince: unseen.requests,
-    sentTokens: unseen.tokens,
+    sentSince: sentSinceLoad.requests,
+    sentTokens: sentSinceLoad.tokens,
     inFlight: target.inFlight,
     cachedTokens:
       prefix === '' ? 0 : context.prefixes.tokensAt(prefix, target.id),
@@ -248,7 +253,10 @@
 ): refusals.Refusal {
   switch (err.kind) {
     case 'cancelled':
-      return refusals.unknownOutcome('target-failed', 'the caller went away');
+      return refusals.unknownOutcome(
+        'target-failed',
+        'the caller disconnected',
+      );
     case 'timed-out':
       noteFailure(context, caller, target);
       return refusals.unknownOutcome(
@@ -295,9 +303,9 @@
   const {maxEjectedShare} = caller.account.template.routing;
   const now = Date.now();
   const peers = context.targets.all();
-  const out = peers.filter(t => t.health.stateAt(now) !== 'healthy').length;
-  const allowed = (out + 1) / peers.length <= maxEjectedShare;
-  if (target.health.noteFailure(now, allowed)) {
+  const ejected = peers.filter(t => t.health.stateAt(now) !== 'healthy').length;
+  const mayEject = (ejected + 1) / peers.length <= maxEjectedShare;
+  if (target.health.noteFailure(now, mayEject)) {
     context.log.event('targetEjected', {target: target.id});
     context.metrics.count('ejections_total');
   }
--- a/src/requests/entry-handler.ts
+++ b/src/requests/entry-handler.ts
@@ -1,18 +1,18 @@
-/** What callers meet: authentication, limits, deadlines, paths. */
+/** Handles callers' requests: authentication, paths, limits and deadlines. */
 import type * as http from 'node:http';
 import * as uuid from 'uuid';
 import * as v from 'valibot';
 import type {RenderedAccount} from '../configuration/types';
 import * as body from '../http/body';
 import {Result, fail, ok} from '../result';
-import * as assistant from './chat-request';
-import * as entryAssistant from './entry-chat';
+import * as chatRequest from './chat-request';
+import * as entryChat from './entry-chat';
 import * as entry from './entry-context';
 import * as entryService from './entry-service';
 import * as headers from './headers';
 import {AccountLimits} from './limits';
 import * as refusals from './refusals';
-import * as answers from './responses';
+import * as responses from './responses';
 
 const KEYS_PATH = '/v1/request-keys';
 const MAX_KEYS_PER_REQUEST = 100;
@@ -32,13 +32,13 @@
   ),
 });
 
-/** A request with its body read, before limits are applied. */
+/** A request whose body has been read, before limits are applied. */
 interface ParsedRequest {
   readonly timeoutMs: number;
-  /** What is being asked for, in a word. */
+  /** Short description for the journal. */
   readonly summary: string;
   readonly run: (caller: entry.CallerRequest) => Promise<void>;
-  /** How the entry itself refuses it. */
+  /** Sends a refusal by the entry itself. */
   readonly refuse: (
     caller: entry.CallerRequest,
     refusal: refusals.Refusal,
@@ -53,12 +53,11 @@
     private readonly limits: AccountLimits,
   ) {}
 
-  /** Requests of callers that are being answered. */
+  /** Number of requests in progress. */
   get openCount(): number {
     return this.open;
   }
 
-  /** Answers one request of a caller. */
   async handle(
     req: http.IncomingMessage,
     res: http.ServerResponse,
@@ -91,7 +90,7 @@
     const timeoutText = body.headerOf(req, headers.TIMEOUT_HEADER);
     const timeoutMs = headers.parseTimeoutMs(timeoutText, parsed.timeoutMs);
     if (timeoutMs === undefined) {
-      const detail = `${headers.TIMEOUT_HEADER}: milliseconds`;
+      const detail = `${headers.TIMEOUT_HEADER}: not an integer from 0 to 999999999`;
       this.refuseEarly(req, res, id, refusals.notRun('bad-request', detail));
       return;
     }
@@ -149,7 +148,7 @@
   ): Promise<Result<ParsedRequest, refusals.Refusal>> {
     const url = req.url ?? '/';
     const path = url.split('?')[0]!;
-    if (path === assistant.CHAT_PATH) {
+    if (path === chatRequest.CHAT_PATH) {
       return this.parseChat(req, account);
     }
     if (path === KEYS_PATH) {
@@ -169,7 +168,7 @@
         this.withPlainRefusal(
           account.parameters.timeoutMs,
           'reconnect',
-          caller => entryAssistant.reconnect(this.context, caller, lastEventId),
+          caller => entryChat.reconnect(this.context, caller, lastEventId),
         ),
       );
     }
@@ -178,9 +177,9 @@
     }
     const read = await body.readBody(req, headers.MAX_REQUEST_BYTES);
     if (!read.ok) {
-      return fail(answers.bodyRefusal(read.error));
+      return fail(responses.bodyRefusal(read.error));
     }
-    const chat = assistant.parseChat(read.value);
+    const chat = chatRequest.parseChat(read.value);
     if (!chat.ok) {
       return chat;
     }
@@ -194,7 +193,7 @@
     const timeoutMs = Math.min(classTimeoutMs, parameters.timeoutMs);
     return ok(
       this.withPlainRefusal(timeoutMs, `chat ${chat.value.model}`, caller =>
-        entryAssistant.runChat(this.context, caller, chat.value, read.value),
+        entryChat.runChat(this.context, caller, chat.value, read.value),
       ),
     );
   }
@@ -206,7 +205,7 @@
     const limit = 4_096;
     const read = await body.readJson(req, limit);
     if (!read.ok) {
-      return fail(answers.bodyRefusal(read.error));
+      return fail(responses.bodyRefusal(read.error));
     }
     const parsed = v.safeParse(keysRequestSchema, read.value);
     if (!parsed.success) {
@@ -231,24 +230,24 @@
     count: number,
     slots: number,
   ): Promise<void> {
-    const minted = await this.context.owners.mintKeys(
+    const keys = await this.context.owners.mintKeys(
       service,
       count,
       slots,
       id => this.context.targets.isLive(id),
       Date.now(),
     );
-    if (minted.length === 0) {
+    if (keys.length === 0) {
       const refusal = refusals.notRun(
         'no-target',
-        'no live owner is known',
+        'no slot of the service has a live owner',
         NO_OWNER_RETRY_AFTER_MS,
       );
       entry.refuseCaller(this.context, caller, refusal);
       return;
     }
     caller.journalEntry.outcome = 'done';
-    body.sendJson(caller.res, 200, {keys: minted});
+    body.sendJson(caller.res, 200, {keys});
   }
 
   private async parseService(
@@ -261,11 +260,11 @@
     const settings = account.template.services[service];
     if (settings === undefined || slash < 0) {
       req.resume();
-      return fail(refusals.notRun('not-found', `nothing under ${url}`));
+      return fail(refusals.notRun('not-found', `no resource at ${url}`));
     }
     const read = await body.readBody(req, headers.MAX_REQUEST_BYTES);
     if (!read.ok) {
-      return fail(answers.bodyRefusal(read.error));
+      return fail(responses.bodyRefusal(read.error));
     }
     const call: entryService.ServiceCall = {
       service,
@@ -307,7 +306,7 @@
   ): void {
     this.context.log.event('badInput', {request: id, kind: refusal.kind});
     this.context.metrics.refused('', refusal.kind);
-    // The rest of a body that is not wanted is not read either.
+    // The body may be unread, so the connection cannot be reused.
     res.setHeader('connection', 'close');
     refusals.sendRefusal(
       res,
--- a/src/requests/entry-service.ts
+++ b/src/requests/entry-service.ts
@@ -1,4 +1,4 @@
-/** An entry's side of plain services: any target, or the key's owner. */
+/** An entry's part of service calls: to any target, or to the key's owner. */
 import type * as http from 'node:http';
 import * as claims from '../claims/rpc-methods';
 import * as keys from '../claims/keys';
@@ -13,7 +13,7 @@
 import * as refusals from './refusals';
 import {isRepeatable} from './sidecar-service';
 
-/** A call to a plain service, with its body read. */
+/** A call to a service, with its body read. */
 export interface ServiceCall {
   readonly service: string;
   readonly settings: Service;
@@ -24,13 +24,12 @@
   readonly payload: Buffer | undefined;
 }
 
-/** How long an owner is looked for before the caller is told to come back. */
+/** A call with a key is refused if no owner takes it within this time. */
 const OWNER_TIMEOUT_MS = 2_000;
 const OWNER_RETRY_INTERVAL_MS = 100;
 const OWNER_RETRY_AFTER_MS = 2_000;
 const BURN_TIMEOUT_MS = 500;
 
-/** Runs a call to a plain service. */
 export async function runService(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
@@ -61,8 +60,8 @@
 }
 
 /**
- * Refuses a call with a key on the entry's own account. Only the owner may
- * say `not-run`, so it is asked to burn the key first.
+ * Sends a refusal by the entry itself. Only the key's owner can guarantee
+ * `not-run`, so the entry asks it to burn the key first.
  */
 export async function refuseKeyed(
   context: entry.EntryContext,
@@ -71,15 +70,15 @@
   refusal: refusals.Refusal,
 ): Promise<void> {
   const key = keys.parseKey(call.key ?? '');
-  const isFree =
+  const needsNoBurn =
     key === undefined || isRepeatable(call.settings, call.method, call.path);
-  const honest = isFree
+  const confirmed = needsNoBurn
     ? refusal
     : await burn(context, caller, call, key, refusal);
-  entry.refuseCaller(context, caller, honest);
+  entry.refuseCaller(context, caller, confirmed);
 }
 
-/** The refusal, with the outcome that the key's owner vouches for. */
+/** Burns the key; returns the refusal with the outcome that the owner reports. */
 async function burn(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
@@ -139,9 +138,8 @@
 }
 
 /**
- * Sends a call with a key to the key's owner, again and again if need be:
- * the owner runs it at most once, so a repeated try asks what became of it.
- * It never goes to anybody else.
+ * Sends a call with a key to the key's owner only, and retries for up to
+ * OWNER_TIMEOUT_MS. Retries are safe, since the owner runs a key at most once.
  */
 async function sendToOwner(
   context: entry.EntryContext,
@@ -175,7 +173,7 @@
   }
 }
 
-/** The last word after all tries: what the owner can still vouch for. */
+/** The refusal after all attempts, with the outcome that the owner reports. */
 async function finalRefusal(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
@@ -187,20 +185,20 @@
     last ??
     refusals.unknownOutcome(
       'owner-unreachable',
-      'nobody is known to own the key',
+      'the owner of the key is not known',
       OWNER_RETRY_AFTER_MS,
     );
   return burn(context, caller, call, key, refusal);
 }
 
 function isTransient(kind: refusals.RefusalKind): boolean {
-  // `no-target`: the owner has just started and has no configuration yet.
+  // `no-target`: the sidecar has just started and has no configuration yet.
   return (
     kind === 'not-owner' || kind === 'owner-unreachable' || kind === 'no-target'
   );
 }
 
-/** A sidecar that is not the owner names the one that is, if it knows. */
+/** The owner's address in a `not-owner` refusal, unless it is the one asked. */
 function ownerAddressIn(
   refusal: refusals.Refusal,
   asked: string,
--- a/src/requests/event-stream.ts
+++ b/src/requests/event-stream.ts
@@ -1,6 +1,6 @@
 /**
- * Server-sent events that carry `<name>.<sequence>` as their id, read from a
- * connection that may break, and written with backpressure.
+ * Reads and writes server-sent events with the id `<name>.<sequence>`. Writes
+ * observe backpressure; a broken connection must be resumed by the caller.
  * Source: WHATWG HTML, section 9.2.
  */
 import type * as http from 'node:http';
@@ -8,7 +8,7 @@
 import * as body from '../http/body';
 import * as sequence from './reorder-buffer';
 
-/** The data of the event that ends a whole stream. */
+/** Data of the event that ends a complete stream. */
 export const DONE_DATA = '[DONE]';
 const GAP_TIMEOUT_MS = 500;
 const REQUEST_ID_PATTERN = /^[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}$/;
@@ -17,14 +17,14 @@
 /** How reading a connection ended. */
 export type StreamEnd =
   | {readonly kind: 'done'}
-  /** The connection broke or skipped events: resume after `delivered`. */
+  /** The connection broke or skipped events: resume it. */
   | {readonly kind: 'broken'}
-  /** An event of another stream came: nothing of it was delivered. */
+  /** An event of another stream arrived; it was not delivered. */
   | {readonly kind: 'foreign'; readonly id: string}
   /** The peer ended the stream with a typed error. */
   | {readonly kind: 'failed'; readonly data: string};
 
-/** Delivers one event in order; resolves once it may send more. */
+/** Delivers one event; resolves when the next may be delivered. */
 export type Deliver = (sequence: number, data: string) => Promise<void>;
 
 interface RawEvent {
@@ -33,7 +33,7 @@
   readonly data: string;
 }
 
-/** Splits `<name>.<sequence>`; undefined where the text is no such id. */
+/** Splits `<name>.<sequence>`; undefined if malformed. */
 export function splitEventId(
   id: string,
 ): {name: string; sequence: number} | undefined {
@@ -44,7 +44,7 @@
     : undefined;
 }
 
-/** Splits `<target>.<request>`; undefined where the text is neither. */
+/** Splits `<target>.<request>`; undefined if malformed. */
 export function splitStreamName(
   name: string,
 ): {target: string; request: string} | undefined {
@@ -59,7 +59,7 @@
 export async function readEvents(
   res: http.IncomingMessage,
   name: string,
-  gate: sequence.ReorderBuffer<string>,
+  buffer: sequence.ReorderBuffer<string>,
   deliver: Deliver,
 ): Promise<StreamEnd> {
   let queue: RawEvent[] = [];
@@ -76,13 +76,13 @@
       const events = queue;
       queue = [];
       for (const event of events) {
-        const end = await handleEvent(event, name, gate, deliver);
+        const end = await handleEvent(event, name, buffer, deliver);
         if (end !== undefined) {
           return end;
         }
       }
       clearTimeout(gapTimer);
-      gapTimer = gate.hasGap
+      gapTimer = buffer.hasGap
         ? setTimeout(() => res.destroy(), GAP_TIMEOUT_MS)
         : undefined;
     }
@@ -98,7 +98,7 @@
 async function handleEvent(
   event: RawEvent,
   name: string,
-  gate: sequence.ReorderBuffer<string>,
+  buffer: sequence.ReorderBuffer<string>,
   deliver: Deliver,
 ): Promise<StreamEnd | undefined> {
   if (event.event === 'error') {
@@ -108,11 +108,11 @@
   if (id === undefined || id.name !== name) {
     return {kind: 'foreign', id: event.id ?? ''};
   }
-  const offer = gate.offer(id.sequence, event.data);
-  if (offer.kind === 'gap') {
+  const offered = buffer.offer(id.sequence, event.data);
+  if (offered.kind === 'gap') {
     return {kind: 'broken'};
   }
-  for (const ready of offer.kind === 'deliver' ? offer.events : []) {
+  for (const ready of offered.kind === 'deliver' ? offered.events : []) {
     await deliver(ready.sequence, ready.event);
     if (ready.event === DONE_DATA) {
       return {kind: 'done'};
@@ -121,7 +121,7 @@
   return undefined;
 }
 
-/** Writes one event; resolves when the peer can take more, or is gone. */
+/** Writes one event; resolves when the peer can take more or has disconnected. */
 export async function writeEvent(
   res: http.ServerResponse,
   id: string,
--- a/src/requests/fair-queue.ts
+++ b/src/requests/fair-queue.ts
@@ -1,17 +1,16 @@
 /**
- * A queue that is fair between client accounts: each account's requests are
- * spaced on a virtual time by cost over weight, so an account that floods
- * waits behind its own requests and not in front of others'.
+ * A queue that is fair between client accounts: each request takes cost / weight
+ * of virtual time, so an account with a backlog waits behind its own requests and
+ * not ahead of others'. Lower priority numbers are always served first.
  * Source: start-time fair queueing (Goyal, Vin and Cheng, 1996).
  */
 
-/** What the queue needs to know of an entry. */
 export interface QueueItem {
   readonly account: string;
   readonly weight: number;
-  /** A lower number is served first. */
+  /** Lower numbers are served first. */
   readonly priority: number;
-  /** Expected work, in any one unit. */
+  /** Expected work; all items use the same unit. */
   readonly cost: number;
 }
 
@@ -32,7 +31,6 @@
     return this.entries.length;
   }
 
-  /** Queues an entry. */
   push(item: T): void {
     const slot = this.schedule(item);
     this.lastFinish.set(item.account, slot.finish);
@@ -40,12 +38,12 @@
     this.entries.splice(this.positionOf(slot), 0, slot);
   }
 
-  /** How many queued entries would be served before this one. */
+  /** Number of queued items that would be served before this one. */
   countAhead(item: T): number {
     return this.positionOf(this.schedule(item));
   }
 
-  /** Takes the entry that is next. */
+  /** Removes and returns the next item. */
   shift(): T | undefined {
     const slot = this.entries.shift();
     if (slot === undefined) {
@@ -58,12 +56,12 @@
     return slot.item;
   }
 
-  /** The entry that would be served last. */
+  /** The item that would be served last. */
   last(): T | undefined {
     return this.entries[this.entries.length - 1]?.item;
   }
 
-  /** Takes an entry out. False where it is not queued. */
+  /** Removes an item; false if it is not queued. */
   remove(item: T): boolean {
     const at = this.entries.findIndex(slot => slot.item === item);
     if (at < 0) {
@@ -73,7 +71,7 @@
     return true;
   }
 
-  /** All entries, next first. */
+  /** All items, next first. */
   items(): T[] {
     return this.entries.map(slot => slot.item);
   }
@@ -99,7 +97,7 @@
     return low;
   }
 
-  /** An account whose last entry is behind has no debt to remember. */
+  /** Drops accounts whose last finish time has passed; they start afresh. */
   private forgetIdleAccounts(): void {
     for (const [account, finish] of this.lastFinish) {
       if (finish <= this.virtualTime) {
--- a/src/requests/headers.ts
+++ b/src/requests/headers.ts
@@ -1,25 +1,24 @@
-/** Headers and limits of the data path between own processes. */
+/** Headers, body limit and digests used between entries and sidecars. */
 import {createHash, timingSafeEqual} from 'node:crypto';
 
-/** The client account, from an entry that has authenticated it. */
+/** The client account, authenticated by the entry. */
 export const ACCOUNT_HEADER = 'ferrycleat-account';
 /** Milliseconds left until the caller's deadline. */
 export const TIMEOUT_HEADER = 'ferrycleat-timeout-ms';
 /** The engine's name of a stream. */
 export const STREAM_HEADER = 'ferrycleat-stream';
-/** Priority towards an engine: a lower number goes first. */
+/** Priority at the engine; lower numbers are served first. */
 export const PRIORITY_HEADER = 'ferrycleat-priority';
-/** The caller's key of a call that may not be repeated. */
+/** The caller's key for a call that may not be repeated. */
 export const KEY_HEADER = 'idempotency-key';
 /**
- * In a refusal: the target that keeps a place for the caller. A caller that
- * comes back sends it along.
+ * In a refusal: the target that has reserved a time for a retry. The caller sends
+ * it back with the retry.
  */
 export const RETURN_HEADER = 'ferrycleat-return';
-/** Set on an answer that was kept from an earlier call with the key. */
+/** Set on a stored response of an earlier call with the same key. */
 export const REPLAYED_HEADER = 'ferrycleat-replayed';
 
-/** Cap on the body of a request. */
 export const MAX_REQUEST_BYTES = 4 * 1024 * 1024;
 
 const ACCOUNT_DIGEST_DIGITS = 16;
@@ -37,14 +36,14 @@
 }
 
 /**
- * The engine's name of a stream. It is bound to the account, so that another
- * account's resume finds nothing, also after a sidecar lost its memory.
+ * The engine's name of a stream. It contains a digest of the account, so that one
+ * account cannot resume another's stream even after a restart of the sidecar.
  */
 export function streamNameOf(request: string, account: string): string {
   return `${request}-${sha256Hex(account).slice(0, ACCOUNT_DIGEST_DIGITS)}`;
 }
 
-/** A timeout in milliseconds, no more than `limit`; undefined if malformed. */
+/** The timeout in milliseconds, at most `limit`; undefined if malformed. */
 export function parseTimeoutMs(
   text: string | undefined,
   limit: number,
--- a/src/requests/journal.ts
+++ b/src/requests/journal.ts
@@ -1,4 +1,4 @@
-/** The latest decisions of a process, kept in memory for `explain`. */
+/** In-memory log of a process's latest routing decisions, for `explain`. */
 import * as v from 'valibot';
 import * as rpc from '../rpc/types';
 
@@ -29,7 +29,7 @@
 });
 export type JournalEntry = v.InferOutput<typeof journalEntrySchema>;
 
-/** The decisions for one request; null where they are no longer kept. */
+/** The decisions for one request; null if they are unknown or evicted. */
 export const explain = rpc.method(
   'requests.explain',
   v.object({request: v.string()}),
@@ -41,7 +41,7 @@
 export class Journal {
   private readonly entries = new Map<string, JournalEntry>();
 
-  /** Starts an entry; the oldest gives way. */
+  /** Starts an entry; evicts the oldest above MAX_ENTRIES. */
   start(request: string, account: string, what: string): JournalEntry {
     const entry: JournalEntry = {
       request,
--- a/src/requests/limits.ts
+++ b/src/requests/limits.ts
@@ -1,10 +1,10 @@
 /**
- * A client account's limits at one entry: a token bucket for the rate and a
- * count for concurrency. Each entry enforces its share of the whole.
+ * Rate and concurrency limits of client accounts at one entry: a token bucket
+ * and a counter per account. Each entry enforces its share of the limits.
  */
 import * as refusals from './refusals';
 
-/** An account's limits over all entries. */
+/** An account's limits over all entries together. */
 export interface AccountLimit {
   readonly requestsPerSecond: number;
   readonly burst: number;
@@ -23,18 +23,18 @@
 export class AccountLimits {
   private readonly buckets = new Map<string, TokenBucket>();
 
-  /** `share` is this entry's part of every limit, in (0, 1]. */
+  /** `share` is this entry's share of every limit, in (0, 1]. */
   constructor(private readonly share: () => number) {}
 
-  /** Lets a request in, or refuses it; `leave` must follow an entry. */
+  /** Admits a request or returns the refusal. Pair an admission with `release`. */
   acquire(
     account: string,
     limit: AccountLimit,
     now: number,
   ): refusals.Refusal | undefined {
     const bucket = this.refill(account, limit, now);
-    const concurrent = Math.max(1, Math.ceil(limit.concurrent * this.share()));
-    if (bucket.running >= concurrent) {
+    const maxRunning = Math.max(1, Math.ceil(limit.concurrent * this.share()));
+    if (bucket.running >= maxRunning) {
       return refusals.notRun(
         'account-limit',
         `${bucket.running} requests are running`,
@@ -68,18 +68,18 @@
     now: number,
   ): TokenBucket {
     const burst = Math.max(1, limit.burst * this.share());
-    const held = this.buckets.get(account);
-    if (held === undefined) {
+    const existing = this.buckets.get(account);
+    if (existing === undefined) {
       const bucket = {tokens: burst, refilledAt: now, running: 0};
       this.buckets.set(account, bucket);
       this.evictIdle();
       return bucket;
     }
     const rate = limit.requestsPerSecond * this.share();
-    const gained = ((now - held.refilledAt) / SECOND_MS) * rate;
-    held.tokens = Math.min(burst, held.tokens + Math.max(gained, 0));
-    held.refilledAt = now;
-    return held;
+    const gained = ((now - existing.refilledAt) / SECOND_MS) * rate;
+    existing.tokens = Math.min(burst, existing.tokens + Math.max(gained, 0));
+    existing.refilledAt = now;
+    return existing;
   }
 
   private evictIdle(): void {
--- a/src/requests/reorder-buffer.ts
+++ b/src/requests/reorder-buffer.ts
@@ -1,40 +1,38 @@
 /**
- * Puts a stream's events in order: doubles are dropped, early ones wait in a
- * small window, and a gap that does not close is reported.
+ * Restores the order of a stream's events: drops duplicates, holds early events
+ * back in a window of WINDOW_EVENTS, and reports a gap wider than the window.
  */
 
-/** What became of an event that was offered. */
 export type OfferResult<T> =
   | {readonly kind: 'deliver'; readonly events: readonly SequencedEvent<T>[]}
   | {readonly kind: 'double'}
   | {readonly kind: 'waiting'}
-  /** Too far ahead: the missing events have to be asked for. */
+  /** Beyond the window: events from `missing` on must be requested again. */
   | {readonly kind: 'gap'; readonly missing: number};
 
-/** An event with its number; the first is 1. */
+/** An event with its sequence number; the first is 1. */
 export interface SequencedEvent<T> {
   readonly sequence: number;
   readonly event: T;
 }
 
-/** Events held back while one is missing. */
 export const WINDOW_EVENTS = 32;
 
 export class ReorderBuffer<T> {
   private readonly pending = new Map<number, T>();
   private lastDelivered: number;
 
-  /** `after`: the last number that was already delivered. */
+  /** `after`: the last sequence number already delivered. */
   constructor(after = 0) {
     this.lastDelivered = after;
   }
 
-  /** The last number delivered. */
+  /** The last sequence number delivered. */
   get delivered(): number {
     return this.lastDelivered;
   }
 
-  /** True while early events wait for a missing one. */
+  /** True while events are held back for a missing one. */
   get hasGap(): boolean {
     return this.pending.size > 0;
   }
--- a/src/requests/responses.ts
+++ b/src/requests/responses.ts
@@ -1,4 +1,4 @@
-/** What sidecars and entries share in answering: heads, refusals. */
+/** Response headers and refusals shared by sidecars and entries. */
 import type * as http from 'node:http';
 import * as body from '../http/body';
 import * as targets from '../targets/types';
@@ -7,7 +7,7 @@
 
 const LEAVING_RETRY_MS = 1_000;
 
-/** Headers of every answer of a sidecar that is no refusal. */
+/** Headers that a sidecar adds to every response that is not a refusal. */
 export function sidecarHeaders(
   context: SidecarContext,
   incoming: IncomingRequest,
@@ -19,7 +19,7 @@
   };
 }
 
-/** Passes a target's answer on through its sidecar. */
+/** Relays a target's response to the entry. */
 export async function relayResponse(
   context: SidecarContext,
   incoming: IncomingRequest,
@@ -32,7 +32,7 @@
   await body.passBody(sent, incoming.res);
 }
 
-/** A sidecar's refusal, as the final answer. */
+/** Sends a sidecar's refusal as the final response. */
 export function refuse(
   context: SidecarContext,
   incoming: IncomingRequest,
@@ -53,19 +53,18 @@
   );
 }
 
-/** Whether the admission keeps a place for the caller's return. */
+/** Whether the admission has reserved a time for the caller's retry. */
 function hasReservation(refusal: refusals.Refusal): boolean {
   return (
     refusal.kind === 'overloaded' || refusal.kind === 'deadline-unreachable'
   );
 }
 
-/** The refusal of new work by a target that leaves. */
 export function leavingRefusal(): refusals.Refusal {
   return refusals.notRun('leaving', 'the target is leaving', LEAVING_RETRY_MS);
 }
 
-/** The refusal for a body that was not read. */
+/** The refusal for a body that could not be read. */
 export function bodyRefusal(err: body.BodyError): refusals.Refusal {
   switch (err.kind) {
     case 'body-too-large':
@@ -80,7 +79,7 @@
   }
 }
 
-/** Headers of a target's answer that a caller gets. */
+/** The headers of a target's response that are relayed to the caller. */
 export function contentHeaders(
   res: http.IncomingMessage,
 ): http.OutgoingHttpHeaders {
@@ -94,7 +93,6 @@
   return kept;
 }
 
-/** True for server-sent events. */
 export function isEventStream(res: http.IncomingMessage): boolean {
   const type = res.headers['content-type'] ?? '';
   return type.startsWith('text/event-stream');
--- a/src/requests/sidecar-chat.ts
+++ b/src/requests/sidecar-chat.ts
@@ -1,12 +1,12 @@
-/** A sidecar's side of chat completions: admission, stream, resume, cancel. */
+/** A sidecar's part of chat completions: admits, streams, resumes, cancels. */
 import type * as http from 'node:http';
 import * as body from '../http/body';
 import * as httpClient from '../http/client';
 import {Result, fail, ok} from '../result';
 import * as prefixes from '../routing/prefixes';
 import type {Ticket} from './admission';
-import * as assistant from './chat-request';
-import * as answers from './responses';
+import * as chatRequest from './chat-request';
+import * as responses from './responses';
 import * as eventStream from './event-stream';
 import * as headers from './headers';
 import * as refusals from './refusals';
@@ -25,7 +25,7 @@
 const STREAM_CALL_TIMEOUT_MS = 1_000;
 const DEFAULT_RESUME_GRACE_MS = 5_000;
 
-/** A stream at the engine, attached to a caller's connection or not. */
+/** An engine stream, with or without a connection of a caller. */
 interface Session {
   readonly request: string;
   readonly name: string;
@@ -40,71 +40,77 @@
 
   constructor(private readonly context: SidecarContext) {}
 
-  /** Streams that are open, with or without a caller. */
+  /** Number of open streams, with or without a connection. */
   get openCount(): number {
     return this.sessions.size;
   }
 
-  /** Runs a new chat completion. */
   async run(incoming: IncomingRequest): Promise<void> {
     const read = await body.readBody(incoming.req, headers.MAX_REQUEST_BYTES);
     if (!read.ok) {
-      answers.refuse(this.context, incoming, answers.bodyRefusal(read.error));
+      responses.refuse(
+        this.context,
+        incoming,
+        responses.bodyRefusal(read.error),
+      );
       return;
     }
-    const chat = assistant.parseChat(read.value);
+    const chat = chatRequest.parseChat(read.value);
     if (!chat.ok) {
-      answers.refuse(this.context, incoming, chat.error);
+      responses.refuse(this.context, incoming, chat.error);
       return;
     }
     const signal = abortOnClose(incoming.res);
     const ticket = await this.admit(incoming, chat.value, signal);
     if (!ticket.ok) {
-      answers.refuse(this.context, incoming, ticket.error);
+      responses.refuse(this.context, incoming, ticket.error);
       return;
     }
     this.context.metrics.queued(incoming.account, ticket.value.waitedMs);
     const sent = await this.dispatch(incoming, read.value, signal);
     if (!sent.ok) {
       ticket.value.release();
-      answers.refuse(this.context, incoming, sent.error);
+      responses.refuse(this.context, incoming, sent.error);
       return;
     }
-    if (answers.isEventStream(sent.value)) {
+    if (responses.isEventStream(sent.value)) {
       await this.startStream(incoming, chat.value, sent.value, ticket.value);
       return;
     }
-    await answers.relayResponse(this.context, incoming, sent.value);
+    await responses.relayResponse(this.context, incoming, sent.value);
     ticket.value.release();
   }
 
-  /** Goes on with a stream after the last event that the caller has. */
+  /** Continues a stream after event number `after`. */
   async resume(
     incoming: IncomingRequest,
     request: string,
     after: number,
   ): Promise<void> {
     const name = headers.streamNameOf(request, incoming.account);
-    const held = this.sessions.get(name);
-    const session = held ?? this.newSession(request, name, undefined, '');
+    const existing = this.sessions.get(name);
+    const session = existing ?? this.newSession(request, name, undefined, '');
     clearTimeout(session.graceTimer);
-    // The newest connection has the stream; an older one is half-open.
+    // An older connection is half-open; only the newest gets events.
     session.attached?.destroy();
     session.attached = incoming.res;
     const first = await this.resumeAtEngine(session, after);
     if (first === undefined) {
       this.endSession(session);
-      answers.refuse(
+      responses.refuse(
         this.context,
         incoming,
-        refusals.unknownOutcome('stream-lost', 'the engine has no such stream'),
+        refusals.unknownOutcome(
+          'stream-lost',
+          'the engine does not have the stream',
+        ),
       );
       return;
     }
     await this.relayStream(incoming, session, first, after);
   }
 
-  /** Cancels a stream for good. */
+  /** Cancels a stream at the engine. */
   async cancel(incoming: IncomingRequest, request: string): Promise<void> {
     const name = headers.streamNameOf(request, incoming.account);
     const session = this.sessions.get(name);
@@ -115,7 +121,7 @@
     body.sendJson(incoming.res, 200, {cancelled: true});
   }
 
-  /** Forgets all sessions; the engine keeps its streams. */
+  /** Drops all sessions; streams continue at the engine. */
   close(): void {
     for (const session of this.sessions.values()) {
       clearTimeout(session.graceTimer);
@@ -125,11 +131,11 @@
 
   private admit(
     incoming: IncomingRequest,
-    chat: assistant.ChatRequest,
+    chat: chatRequest.ChatRequest,
     signal: AbortSignal,
   ): Promise<Result<Ticket, refusals.Refusal>> {
     if (this.context.isLeaving()) {
-      return Promise.resolve(fail(answers.leavingRefusal()));
+      return Promise.resolve(fail(responses.leavingRefusal()));
     }
     return this.context.admission.admit(
       {
@@ -152,7 +158,7 @@
     const name = headers.streamNameOf(incoming.id, incoming.account);
     const sent = await sendToTarget(this.context, {
       method: 'POST',
-      path: assistant.CHAT_PATH,
+      path: chatRequest.CHAT_PATH,
       headers: {
         'content-type': 'application/json',
         [refusals.REQUEST_HEADER]: incoming.id,
@@ -165,10 +171,10 @@
       signal,
     });
     if (sent.ok) {
-      const rest = cooldownRefusal(sent.value);
-      if (rest !== undefined) {
+      const cooldown = cooldownRefusal(sent.value);
+      if (cooldown !== undefined) {
         sent.value.resume();
-        return fail(rest);
+        return fail(cooldown);
       }
       return this.checkStreamName(incoming, name, sent.value);
     }
@@ -181,7 +187,7 @@
     return fail(failed);
   }
 
-  /** An answer that names another request is never passed on. */
+  /** Rejects a response that names another stream. */
   private checkStreamName(
     incoming: IncomingRequest,
     name: string,
@@ -200,7 +206,7 @@
 
   private async startStream(
     incoming: IncomingRequest,
-    chat: assistant.ChatRequest,
+    chat: chatRequest.ChatRequest,
     first: http.IncomingMessage,
     ticket: Ticket,
   ): Promise<void> {
@@ -210,7 +216,7 @@
     await this.relayStream(incoming, session, first, 0);
   }
 
-  /** Passes events on, resuming at the engine, until the end or no caller. */
+  /** Relays events, resuming at the engine, until the stream or connection ends. */
   private async relayStream(
     incoming: IncomingRequest,
     session: Session,
@@ -219,7 +225,7 @@
   ): Promise<void> {
     const {res} = incoming;
     this.writeStreamHeaders(incoming);
-    const gate = new ReorderBuffer<string>(after);
+    const buffer = new ReorderBuffer<string>(after);
     const prefix = `${this.context.targetId}.${session.request}`;
     const deliver: eventStream.Deliver = (sequence, data) =>
       eventStream.writeEvent(res, `${prefix}.${sequence}`, data);
@@ -229,7 +235,7 @@
       const end = await eventStream.readEvents(
         connection,
         session.name,
-        gate,
+        buffer,
         deliver,
       );
       if (end.kind === 'done' || end.kind === 'failed') {
@@ -243,7 +249,7 @@
       }
       connection = res.destroyed
         ? undefined
-        : await this.resumeAtEngine(session, gate.delivered);
+        : await this.resumeAtEngine(session, buffer.delivered);
     }
     this.onDetached(session, res);
   }
@@ -264,8 +270,8 @@
       return;
     }
     if (!res.destroyed) {
-      // The engine has lost the stream: the entry must not take this for
-      // the end of it.
+      // The engine lost the stream. A regular end of the response would look
+      // like a complete stream to the entry.
       res.destroy();
       this.endSession(session);
       return;
@@ -282,11 +288,11 @@
     session: Session,
     after: number,
   ): Promise<http.IncomingMessage | undefined> {
-    for (let tries = 0; tries < MAX_RESUME_ATTEMPTS; tries += 1) {
+    for (let attempt = 0; attempt < MAX_RESUME_ATTEMPTS; attempt += 1) {
       const sent = await httpClient.send(this.context.agent, {
         address: this.context.targetAddress,
         method: 'GET',
-        path: `${assistant.STREAMS_PATH}${session.name}?after=${after}`,
+        path: `${chatRequest.STREAMS_PATH}${session.name}?after=${after}`,
         timeoutMs: STREAM_CALL_TIMEOUT_MS,
       });
       if (sent.ok && sent.value.statusCode === 200) {
@@ -312,7 +318,7 @@
       {
         address: this.context.targetAddress,
         method: 'DELETE',
-        path: assistant.STREAMS_PATH + name,
+        path: chatRequest.STREAMS_PATH + name,
         timeoutMs: STREAM_CALL_TIMEOUT_MS,
       },
       limit,
@@ -323,7 +329,7 @@
     incoming.res.writeHead(200, {
       'content-type': 'text/event-stream',
       'cache-control': 'no-store',
-      ...answers.sidecarHeaders(this.context, incoming),
+      ...responses.sidecarHeaders(this.context, incoming),
     });
     incoming.res.flushHeaders();
   }
--- a/src/requests/sidecar-context.ts
+++ b/src/requests/sidecar-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a sidecar's data path share. */
+/** Dependencies and helpers shared by the parts of a sidecar's data path. */
 import type * as http from 'node:http';
 import type {Follower} from '../configuration/follower';
 import type {Log} from '../observability/log';
@@ -10,10 +10,9 @@
 import type {Admission} from './admission';
 import * as refusals from './refusals';
 
-/** One sidecar and its target. */
 export interface SidecarContext {
   readonly targetId: string;
-  /** Address of the target's own HTTP face. */
+  /** Address of the target's own HTTP server. */
   readonly targetAddress: string;
   readonly serves: targets.Serves;
   readonly follower: Follower;
@@ -25,7 +24,7 @@
   load(): targets.Load;
 }
 
-/** A request as the entry passed it on. */
+/** A request received from an entry. */
 export interface IncomingRequest {
   readonly req: http.IncomingMessage;
   readonly res: http.ServerResponse;
@@ -35,7 +34,7 @@
   readonly priority: number;
   /** Unix milliseconds. */
   readonly deadlineAt: number;
-  /** True: the caller comes back as this target told it to. */
+  /** True if the caller retries at the time that this target reserved. */
   readonly isReservedRetry: boolean;
 }
 
@@ -44,7 +43,7 @@
   return Math.max(incoming.deadlineAt - Date.now(), 0);
 }
 
-/** A signal that fires when the peer goes away before the answer ended. */
+/** A signal that aborts if the peer disconnects before the response ends. */
 export function abortOnClose(res: http.ServerResponse): AbortSignal {
   const abort = new AbortController();
   res.once('close', () => {
@@ -55,12 +54,12 @@
   return abort.signal;
 }
 
-/** What is sent to the target, but for where it is. */
+/** A call to the sidecar's own target. */
 export type TargetCall = Omit<httpClient.Call, 'address'>;
 
 /**
- * Sends new work to the target. What it asks for in its answer is held by the
- * admission, which all new work passes, whatever becomes of the answer.
+ * Sends new work to the target. If the response asks for a cooldown (Retry-After),
+ * starts it in the admission, which all new work passes.
  */
 export async function sendToTarget(
   context: SidecarContext,
@@ -84,19 +83,23 @@
   sentAt: number,
 ): void {
   const {admission, log, metrics, targetId, serves} = context;
-  const rest = readRetryAfter(res);
-  if (rest.kind === 'none') {
+  const cooldown = readRetryAfter(res);
+  if (cooldown.kind === 'none') {
     admission.noteAccepted(sentAt);
     return;
   }
-  if (rest.kind === 'unread') {
-    log.event('restUnread', {target: targetId, text: rest.text});
+  if (cooldown.kind === 'unread') {
+    log.event('restUnread', {target: targetId, text: cooldown.text});
     return;
   }
   metrics.count('rests_asked_total', {service: serves.name});
-  if (admission.startCooldown(rest.ms)) {
+  if (admission.startCooldown(cooldown.ms)) {
     const service = serves.name;
-    log.event('targetResting', {target: targetId, service, restMs: rest.ms});
+    log.event('targetResting', {
+      target: targetId,
+      service,
+      restMs: cooldown.ms,
+    });
   }
 }
 
@@ -105,14 +108,18 @@
 }
 
 /**
- * The refusal of a call that may be repeated and that the target turned away,
- * asking for rest: another target may take it. Undefined where it did not.
+ * The refusal of a repeatable call to which the target responded with a cooldown,
+ * so that another target can take it. Undefined if it did not.
  */
 export function cooldownRefusal(
   res: http.IncomingMessage,
 ): refusals.Refusal | undefined {
-  const rest = readRetryAfter(res);
-  return rest.kind === 'rest'
-    ? refusals.unknownOutcome('resting', 'the target asks for rest', rest.ms)
+  const cooldown = readRetryAfter(res);
+  return cooldown.kind === 'rest'
+    ? refusals.unknownOutcome(
+        'resting',
+        'the target requested a cooldown',
+        cooldown.ms,
+      )
     : undefined;
 }
--- a/src/requests/sidecar-service.ts
+++ b/src/requests/sidecar-service.ts
@@ -1,4 +1,4 @@
-/** A sidecar's side of plain services: pass through, or at most once. */
+/** A sidecar's part of service calls: repeatable ones, and others at most once. */
 import type * as http from 'node:http';
 import type {Service} from '../configuration/types';
 import * as body from '../http/body';
@@ -10,7 +10,7 @@
 import type {Ticket} from './admission';
 import * as headers from './headers';
 import * as refusals from './refusals';
-import * as answers from './responses';
+import * as responses from './responses';
 import {
   IncomingRequest,
   SidecarContext,
@@ -23,7 +23,7 @@
 const MAX_STORED_RESPONSE_BYTES = 64 * 1024;
 const RETRY_AFTER_MS = 1_000;
 
-/** One call, with its body read. */
+/** A call with its body read. */
 interface ServiceCall {
   readonly incoming: IncomingRequest;
   readonly method: string;
@@ -38,13 +38,16 @@
     private readonly settings: () => Service | undefined,
   ) {}
 
-  /** Answers a call; `path` is the one that the target sees. */
+  /** Handles a call; `path` is the path at the target. */
   async run(incoming: IncomingRequest, path: string): Promise<void> {
     const read = await body.readBody(incoming.req, headers.MAX_REQUEST_BYTES);
     if (!read.ok) {
-      const refusal = answers.bodyRefusal(read.error);
-      const honest = refusals.withUnconfirmedOutcome(incoming.req, refusal);
-      answers.refuse(this.context, incoming, honest);
+      const refusal = responses.bodyRefusal(read.error);
+      const unconfirmed = refusals.withUnconfirmedOutcome(
+        incoming.req,
+        refusal,
+      );
+      responses.refuse(this.context, incoming, unconfirmed);
       return;
     }
     const method = incoming.req.method ?? 'GET';
@@ -56,7 +59,7 @@
     }
     if (!isRepeatable(this.settings(), method, path)) {
       const detail = `${method} ${path} may not be repeated`;
-      answers.refuse(
+      responses.refuse(
         this.context,
         incoming,
         refusals.notRun('key-required', detail),
@@ -70,12 +73,12 @@
     const {incoming} = call;
     const signal = abortOnClose(incoming.res);
     if (this.context.isLeaving()) {
-      answers.refuse(this.context, incoming, answers.leavingRefusal());
+      responses.refuse(this.context, incoming, responses.leavingRefusal());
       return;
     }
     const ticket = await this.admit(incoming, signal);
     if (!ticket.ok) {
-      answers.refuse(this.context, incoming, ticket.error);
+      responses.refuse(this.context, incoming, ticket.error);
       return;
     }
     const sent = await this.dispatch(call, signal);
@@ -84,29 +87,29 @@
       const failed = sent.error.sent
         ? refusals.unknownOutcome('target-failed', sent.error.kind)
         : refusals.notRun('target-failed', sent.error.kind);
-      answers.refuse(this.context, incoming, failed);
+      responses.refuse(this.context, incoming, failed);
       return;
     }
-    const rest = cooldownRefusal(sent.value);
-    if (rest !== undefined) {
+    const cooldown = cooldownRefusal(sent.value);
+    if (cooldown !== undefined) {
       ticket.value.release();
       sent.value.resume();
-      answers.refuse(this.context, incoming, rest);
+      responses.refuse(this.context, incoming, cooldown);
       return;
     }
-    await answers.relayResponse(this.context, incoming, sent.value);
+    await responses.relayResponse(this.context, incoming, sent.value);
     ticket.value.release();
   }
 
   /**
-   * The caller may go away: a call with a key runs to its end all the same.
-   * A leaving owner goes on with its keys until the slot is surrendered.
+   * Runs a call with a key to its end even if the caller disconnects. A leaving
+   * owner accepts calls until the slot is surrendered.
    */
   private async runKeyed(call: ServiceCall, keyText: string): Promise<void> {
     const {incoming} = call;
     const key = keys.parseKey(keyText);
     if (key === undefined) {
-      answers.refuse(
+      responses.refuse(
         this.context,
         incoming,
         refusals.notRun('bad-key', 'not a UUIDv7'),
@@ -120,7 +123,7 @@
     });
     switch (admission.kind) {
       case 'refuse':
-        answers.refuse(this.context, incoming, toRefusal(admission.refusal));
+        responses.refuse(this.context, incoming, toRefusal(admission.refusal));
         return;
       case 'replay':
         this.sendStoredResponse(incoming, admission.answer, true);
@@ -136,7 +139,7 @@
     }
   }
 
-  /** Always finishes the run, whatever happens on the way. */
+  /** Runs a call; calls `finish` whether or not the call succeeds. */
   private async runOnce(
     call: ServiceCall,
     finish: (end: RunResult) => void,
@@ -211,7 +214,7 @@
     return sent.ok ? this.checkRequestId(incoming, sent.value) : sent;
   }
 
-  /** An answer that names another request is never passed on. */
+  /** Rejects a response that names another request. */
   private checkRequestId(
     incoming: IncomingRequest,
     res: http.IncomingMessage,
@@ -236,14 +239,18 @@
         this.sendStoredResponse(incoming, end.answer, replayed);
         return;
       case 'not-run':
-        answers.refuse(
+        responses.refuse(
           this.context,
           incoming,
-          refusal ?? refusals.notRun('target-failed', 'the target is away'),
+          refusal ??
+            refusals.notRun(
+              'target-failed',
+              'the call was not sent to the target',
+            ),
         );
         return;
       case 'unknown':
-        answers.refuse(
+        responses.refuse(
           this.context,
           incoming,
           toRefusal({kind: 'outcome-unknown'}),
@@ -257,8 +264,8 @@
     replayed: boolean,
   ): void {
     if (answer === null) {
-      const detail = 'the answer is no longer kept';
-      answers.refuse(this.context, incoming, {
+      const detail = 'the response is no longer stored';
+      responses.refuse(this.context, incoming, {
         kind: 'already-ran',
         outcome: 'ran',
         detail,
@@ -276,43 +283,40 @@
         : {'content-type': answer.contentType}),
       'content-length': text.length,
       ...(replayed ? {[headers.REPLAYED_HEADER]: 'true'} : {}),
-      ...answers.sidecarHeaders(this.context, incoming),
+      ...responses.sidecarHeaders(this.context, incoming),
     });
     res.end(text);
   }
 }
 
-/** Whether a call may run any number of times. Unlisted calls may not. */
+/** Whether a call may run more than once; only listed calls may. */
 export function isRepeatable(
   service: Service | undefined,
   method: string,
   path: string,
 ): boolean {
-  const plain = path.split('?')[0]!;
+  const pathname = path.split('?')[0]!;
   const isListed = (service?.repeatable ?? []).some(
     rule =>
       rule.method === method &&
-      (plain === rule.path || plain.startsWith(rule.path + '/')),
+      (pathname === rule.path || pathname.startsWith(rule.path + '/')),
   );
   return isListed;
 }
 
-/** Two calls with one key must be the same call. */
+/** Digest of a call, to detect a key that is reused for another call. */
 function fingerprintOf(call: ServiceCall): string {
   const head = `${call.method} ${call.path}\n`;
   return headers.sha256Hex(Buffer.concat([Buffer.from(head), call.payload]));
 }
 
-/** The refusal that a caller gets for a key. */
+/** The refusal sent to the caller for a key refusal. */
 export function toRefusal(refusal: KeyRefusal): refusals.Refusal {
   switch (refusal.kind) {
     case 'key-burnt':
       return refusals.notRun('key-burnt', 'use a new key');
     case 'outcome-unknown':
-      return refusals.unknownOutcome(
-        'outcome-unknown',
-        'nobody can tell whether it ran',
-      );
+      return refusals.unknownOutcome('outcome-unknown', 'the key may have run');
     case 'key-reused':
       return {
         kind: 'key-reused',
@@ -322,7 +326,7 @@
     case 'key-ahead':
       return refusals.unknownOutcome(
         'key-ahead',
-        `minted ${Math.ceil(refusal.leadMs)} ms ahead; see /v1/request-keys`,
+        `minted ${Math.ceil(refusal.leadMs)} ms in the future; see /v1/request-keys`,
         refusal.leadMs,
       );
     case 'key-too-old':
