--- a/src/claims/cells.ts
+++ b/src/claims/cells.ts
@@ -30,9 +30,9 @@
 }
 
 /**
- * Appends a cell for a new owner, from the end of the last cell or from `now` if
- * that has passed. Fails if the last cell ends after `acceptBefore`, which may be
- * later than `now` so that no gap without an owner arises.
+ * Appends a cell for a new owner, from the end of the last cell or from `now`
+ * if that has passed. Fails if the last cell ends after `acceptBefore`, which
+ * may be later than `now` so that no gap without an owner arises.
  */
 export function take(
   slot: Slot,
@@ -72,7 +72,8 @@
 
 /**
  * Ends the last cell at `at`, if that is earlier. Safe only if the owner has
- * terminated, or if the caller is the owner and runs no key minted from `at` on.
+ * terminated, or if the caller is the owner and runs no key minted from `at`
+ * on.
  */
 export function cutShort(
   slot: Slot,
--- a/src/claims/handover.ts
+++ b/src/claims/handover.ts
@@ -1,8 +1,8 @@
 /**
  * Hands over slots and their key records to other sidecars of the service when
- * a sidecar stops: surrender the slot, wait for its runs, send the records, write
- * the store, activate the successor. If a step fails, the slot is not served
- * until its cell ends; no key runs twice.
+ * a sidecar stops: surrender the slot, wait for its runs, send the records,
+ * write the store, activate the successor. If a step fails, the slot is not
+ * served until its cell ends; no key runs twice.
  */
 import {Log} from '../observability/log';
 import type {RpcClient} from '../rpc/client';
@@ -125,7 +125,9 @@
   return parsed === undefined ? -1 : keys.slotOf(parsed, slots);
 }
 
-/** Registers the successor's RPC methods. `accepting` is false while it leaves. */
+/**
+ * Registers the successor's RPC methods. `accepting` is false while it leaves.
+ */
 export function serveHandover(
   server: RpcServer,
   service: string,
--- a/src/claims/keyed-runs.ts
+++ b/src/claims/keyed-runs.ts
@@ -49,8 +49,8 @@
   readonly records: records.KeyRecords;
   private readonly activeRuns = new Map<string, ActiveRun>();
   /**
-   * Keys minted before this time are refused. It never decreases: records before
-   * it may have been dropped even if the retention is lengthened later.
+   * Keys minted before this time are refused. It never decreases: records
+   * before it may have been dropped even if the retention is lengthened later.
    */
   private oldestAccepted = 0;
 
--- a/src/claims/owner-directory.ts
+++ b/src/claims/owner-directory.ts
@@ -42,7 +42,9 @@
     return this.lookUp(service, key, slots);
   }
 
-  /** Refetches the table; concurrent and closely following calls share a fetch. */
+  /**
+   * Refetches the table; concurrent and closely following calls share a fetch.
+   */
   async refresh(service: string): Promise<void> {
     const table = this.tables.get(service);
     if (
@@ -57,7 +59,9 @@
     this.refreshing.delete(service);
   }
 
-  /** Mints keys in slots whose owner is live; none if no slot has a live owner. */
+  /**
+   * Mints keys in slots whose owner is live; none if no slot has a live owner.
+   */
   async mintKeys(
     service: string,
     count: number,
--- a/src/claims/slot-manager.test.ts
+++ b/src/claims/slot-manager.test.ts
@@ -40,7 +40,9 @@
     private readonly skewMs: number,
   ) {}
 
-  /** Starts a new incarnation. All earlier ones have ended: it has the address. */
+  /**
+   * Starts a new incarnation. All earlier ones have ended: it has the address.
+   */
   async restart(): Promise<void> {
     await this.freeze();
     this.frozen.length = 0;
--- a/src/claims/slot-manager.ts
+++ b/src/claims/slot-manager.ts
@@ -1,6 +1,6 @@
 /**
- * Manages one sidecar's ownership of a service's slots: takes the slots assigned
- * to it, extends their cells ahead of time and hands them over.
+ * Manages one sidecar's ownership of a service's slots: takes the slots
+ * assigned to it, extends their cells ahead of time and hands them over.
  *
  * A key may run here only if its minting time lies in a cell that the store has
  * confirmed as owned by this incarnation. A surrendered slot stays surrendered
@@ -66,7 +66,9 @@
     private readonly liveIds: () => readonly string[],
   ) {}
 
-  /** Runs the upkeep now. Call it whenever the list of live sidecars changes. */
+  /**
+   * Runs the upkeep now. Call it whenever the list of live sidecars changes.
+   */
   triggerUpkeep(): void {
     if (this.closed) {
       return;
@@ -126,7 +128,10 @@
     this.surrendered.add(slot);
   }
 
-  /** Notes that this process holds the key records of the cell starting at `from`. */
+  /**
+   * Notes that this process holds the key records of the cell starting at
+   * `from`.
+   */
   markRecordsHeld(slot: number, from: number): void {
     const cellStarts = this.cellsWithRecords.get(slot) ?? new Set<number>();
     this.cellsWithRecords.set(slot, cellStarts.add(from));
@@ -236,8 +241,9 @@
   }
 
   /**
-   * True if the owner has terminated: this process listens at the owner's address
-   * on the same boot, which is possible only after the owner has released it.
+   * True if the owner has terminated: this process listens at the owner's
+   * address on the same boot, which is possible only after the owner has
+   * released it.
    */
   private isDeadPredecessor(owner: types.Owner): boolean {
     return (
@@ -335,8 +341,8 @@
   }
 
   /**
-   * Writes a slot. No other process has run keys of a cell that the write takes,
-   * so its key records count as held.
+   * Writes a slot. No other process has run keys of a cell that the write
+   * takes, so its key records count as held.
    */
   private async write(
     slot: number,
--- a/src/claims/types.ts
+++ b/src/claims/types.ts
@@ -5,8 +5,8 @@
  * A request key is a UUIDv7. Its random bits select a slot of the service; its
  * minting time selects a cell, an interval of minting times within the slot.
  * One incarnation of one sidecar owns each cell until it hands the cell over.
- * Cells of a slot never overlap, because a slot is one store object that changes
- * only by conditional update.
+ * Cells of a slot never overlap, because a slot is one store object that
+ * changes only by conditional update.
  */
 import * as v from 'valibot';
 import {addressSchema} from '../http/address';
--- a/src/requests/admission.ts
+++ b/src/requests/admission.ts
@@ -1,8 +1,9 @@
 /**
- * Admission control for one target: a request runs, is queued, or is refused. It
- * is refused once its deadline cannot be met, with the time after which to retry.
- * During a cooldown that the target requested all requests are refused; after it
- * one runs at a time until the target has accepted one or a time limit passes.
+ * Admission control for one target: a request runs, is queued, or is refused.
+ * It is refused once its deadline cannot be met, with the time after which to
+ * retry. During a cooldown that the target requested all requests are refused;
+ * after it one runs at a time until the target has accepted one or a time limit
+ * passes.
  */
 import {Result, fail, ok} from '../result';
 import * as fairQueue from './fair-queue';
@@ -245,7 +246,9 @@
     rate.addEvent(Date.now());
   }
 
-  /** Corrects predictions for requests that later ones overtake in the queue. */
+  /**
+   * Corrects predictions for requests that later ones overtake in the queue.
+   */
   private updateWaitCorrection(queued: QueuedRequest): void {
     const waitedMs = Date.now() - queued.queuedAt;
     const predictedMs = Math.max(queued.predictedWaitMs, MIN_PREDICTED_WAIT_MS);
@@ -298,7 +301,9 @@
     );
   }
 
-  /** Reserves the account's next free time; returns the delay until it, in ms. */
+  /**
+   * Reserves the account's next free time; returns the delay until it, in ms.
+   */
   private reserveRetry(request: AdmissionRequest): number {
     const now = Date.now();
     const {capacity} = this.settings();
--- a/src/requests/entry-chat.ts
+++ b/src/requests/entry-chat.ts
@@ -1,4 +1,6 @@
-/** An entry's part of chat completions: routes, streams, resumes, reconnects. */
+/**
+ * An entry's part of chat completions: routes, streams, resumes, reconnects.
+ */
 import type * as http from 'node:http';
 import * as body from '../http/body';
 import * as httpClient from '../http/client';
@@ -184,7 +186,9 @@
   caller.res.end();
 }
 
-/** Resumes a stream; retries for RESUME_TIMEOUT_MS while the sidecar restarts. */
+/**
+ * Resumes a stream; retries for RESUME_TIMEOUT_MS while the sidecar restarts.
+ */
 async function resumeAtTarget(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
--- a/src/requests/entry-forward.ts
+++ b/src/requests/entry-forward.ts
@@ -1,6 +1,6 @@
 /**
- * Forwards a repeatable request to a target and, if that fails, to other targets
- * while the retry budget and the deadline allow it.
+ * Forwards a repeatable request to a target and, if that fails, to other
+ * targets while the retry budget and the deadline allow it.
  */
 import type * as http from 'node:http';
 import * as body from '../http/body';
@@ -79,8 +79,8 @@
 }
 
 /**
- * The refusal after all attempts; if all targets are in a cooldown, its retry time
- * is the end of the cooldown with jitter.
+ * The refusal after all attempts; if all targets are in a cooldown, its retry
+ * time is the end of the cooldown with jitter.
  */
 function finalRefusal(
   context: entry.EntryContext,
@@ -153,7 +153,9 @@
   return usable.find(target => target.id === decision.chosen);
 }
 
-/** The target that has reserved a time for this retry, according to the caller. */
+/**
+ * The target that has reserved a time for this retry, according to the caller.
+ */
 function reservedTargetId(caller: entry.CallerRequest): string | undefined {
   return body.headerOf(caller.req, headers.RETURN_HEADER);
 }
--- a/src/requests/entry-handler.ts
+++ b/src/requests/entry-handler.ts
@@ -230,14 +230,14 @@
     count: number,
     slots: number,
   ): Promise<void> {
-    const keys = await this.context.owners.mintKeys(
+    const mintedKeys = await this.context.owners.mintKeys(
       service,
       count,
       slots,
       id => this.context.targets.isLive(id),
       Date.now(),
     );
-    if (keys.length === 0) {
+    if (mintedKeys.length === 0) {
       const refusal = refusals.notRun(
         'no-target',
         'no slot of the service has a live owner',
@@ -247,7 +247,7 @@
       return;
     }
     caller.journalEntry.outcome = 'done';
-    body.sendJson(caller.res, 200, {keys});
+    body.sendJson(caller.res, 200, {keys: mintedKeys});
   }
 
   private async parseService(
--- a/src/requests/entry-service.ts
+++ b/src/requests/entry-service.ts
@@ -78,7 +78,9 @@
   entry.refuseCaller(context, caller, confirmed);
 }
 
-/** Burns the key; returns the refusal with the outcome that the owner reports. */
+/**
+ * Burns the key; returns the refusal with the outcome that the owner reports.
+ */
 async function burn(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
--- a/src/requests/event-stream.ts
+++ b/src/requests/event-stream.ts
@@ -121,7 +121,9 @@
   return undefined;
 }
 
-/** Writes one event; resolves when the peer can take more or has disconnected. */
+/**
+ * Writes one event; resolves when the peer can take more or has disconnected.
+ */
 export async function writeEvent(
   res: http.ServerResponse,
   id: string,
--- a/src/requests/fair-queue.ts
+++ b/src/requests/fair-queue.ts
@@ -1,7 +1,8 @@
 /**
- * A queue that is fair between client accounts: each request takes cost / weight
- * of virtual time, so an account with a backlog waits behind its own requests and
- * not ahead of others'. Lower priority numbers are always served first.
+ * A queue that is fair between client accounts: each request takes cost /
+ * weight of virtual time, so an account with a backlog waits behind its own
+ * requests and not ahead of others'. Lower priority numbers are always served
+ * first.
  * Source: start-time fair queueing (Goyal, Vin and Cheng, 1996).
  */
 
--- a/src/requests/headers.ts
+++ b/src/requests/headers.ts
@@ -12,8 +12,8 @@
 /** The caller's key for a call that may not be repeated. */
 export const KEY_HEADER = 'idempotency-key';
 /**
- * In a refusal: the target that has reserved a time for a retry. The caller sends
- * it back with the retry.
+ * In a refusal: the target that has reserved a time for a retry. The caller
+ * sends it back with the retry.
  */
 export const RETURN_HEADER = 'ferrycleat-return';
 /** Set on a stored response of an earlier call with the same key. */
@@ -36,8 +36,9 @@
 }
 
 /**
- * The engine's name of a stream. It contains a digest of the account, so that one
- * account cannot resume another's stream even after a restart of the sidecar.
+ * The engine's name of a stream. It contains a digest of the account, so that
+ * one account cannot resume another's stream even after a restart of the
+ * sidecar.
  */
 export function streamNameOf(request: string, account: string): string {
   return `${request}-${sha256Hex(account).slice(0, ACCOUNT_DIGEST_DIGITS)}`;
--- a/src/requests/limits.ts
+++ b/src/requests/limits.ts
@@ -26,7 +26,9 @@
   /** `share` is this entry's share of every limit, in (0, 1]. */
   constructor(private readonly share: () => number) {}
 
-  /** Admits a request or returns the refusal. Pair an admission with `release`. */
+  /**
+   * Admits a request or returns the refusal. Pair an admission with `release`.
+   */
   acquire(
     account: string,
     limit: AccountLimit,
--- a/src/requests/refusals.ts
+++ b/src/requests/refusals.ts
@@ -106,8 +106,8 @@
 }
 
 /**
- * Changes `not-run` to `unknown` for a call with a key, in a process that cannot
- * ask the key's owner: an earlier call with the key may have run.
+ * Changes `not-run` to `unknown` for a call with a key, in a process that
+ * cannot ask the key's owner: an earlier call with the key may have run.
  */
 export function withUnconfirmedOutcome(
   req: http.IncomingMessage,
--- a/src/requests/retry-reservations.ts
+++ b/src/requests/retry-reservations.ts
@@ -1,9 +1,9 @@
 /**
  * Times at which refused callers were told to retry, per account and spaced by
  * the rate at which the target serves the account. The admission refuses new
- * requests in their favour, so that a caller that retries on time finds capacity.
- * The retry header is not authenticated: a forged one uses up only its own
- * account's reservations.
+ * requests in their favour, so that a caller that retries on time finds
+ * capacity. The retry header is not authenticated: a forged one uses up only
+ * its own account's reservations.
  */
 
 /** A reservation expires this long after its time. */
--- a/src/requests/sidecar-chat.ts
+++ b/src/requests/sidecar-chat.ts
@@ -216,7 +216,9 @@
     await this.relayStream(incoming, session, first, 0);
   }
 
-  /** Relays events, resuming at the engine, until the stream or connection ends. */
+  /**
+   * Relays events, resuming at the engine, until the stream or connection ends.
+   */
   private async relayStream(
     incoming: IncomingRequest,
     session: Session,
--- a/src/requests/sidecar-context.ts
+++ b/src/requests/sidecar-context.ts
@@ -58,8 +58,8 @@
 export type TargetCall = Omit<httpClient.Call, 'address'>;
 
 /**
- * Sends new work to the target. If the response asks for a cooldown (Retry-After),
- * starts it in the admission, which all new work passes.
+ * Sends new work to the target. If the response asks for a cooldown
+ * (Retry-After), starts it in the admission, which all new work passes.
  */
 export async function sendToTarget(
   context: SidecarContext,
@@ -108,8 +108,8 @@
 }
 
 /**
- * The refusal of a repeatable call to which the target responded with a cooldown,
- * so that another target can take it. Undefined if it did not.
+ * The refusal of a repeatable call to which the target responded with a
+ * cooldown, so that another target can take it. Undefined if it did not.
  */
 export function cooldownRefusal(
   res: http.IncomingMessage,
--- a/src/requests/sidecar-service.ts
+++ b/src/requests/sidecar-service.ts
@@ -1,4 +1,6 @@
-/** A sidecar's part of service calls: repeatable ones, and others at most once. */
+/**
+ * A sidecar's part of service calls: repeatable ones, and others at most once.
+ */
 import type * as http from 'node:http';
 import type {Service} from '../configuration/types';
 import * as body from '../http/body';
