--- a/src/claims/handover.ts
+++ b/src/claims/handover.ts
@@ -22,7 +22,7 @@
   manager: SlotManager,
   runs: KeyedRuns,
   service: string,
-  slots: number,
+  slotCount: number,
   candidates: readonly string[],
   rpc: RpcClient,
   log: Log,
@@ -41,7 +41,7 @@
       runs,
       service,
       slot,
-      slots,
+      slotCount,
       owner,
       rpc,
     );
@@ -73,7 +73,7 @@
   runs: KeyedRuns,
   service: string,
   slot: number,
-  slots: number,
+  slotCount: number,
   successor: Owner,
   rpc: RpcClient,
 ): Promise<boolean> {
@@ -87,7 +87,7 @@
     .map(entry => entry.cell);
   const records = ownCells
     .flatMap(cell => runs.records.mintedWithin(cell.from, cell.until))
-    .filter(record => slotOfRecord(record.key, slots) === slot);
+    .filter(record => slotOfRecord(record.key, slotCount) === slot);
   const froms = ownCells.map(cell => cell.from);
   for (let at = 0; at <= records.length; at += RECORDS_PER_MESSAGE) {
     const isLast = at + RECORDS_PER_MESSAGE > records.length;
@@ -120,9 +120,9 @@
   return activated.ok && activated.value.active;
 }
 
-function slotOfRecord(key: string, slots: number): number {
+function slotOfRecord(key: string, slotCount: number): number {
   const parsed = keys.parseKey(key);
-  return parsed === undefined ? -1 : keys.slotOf(parsed, slots);
+  return parsed === undefined ? -1 : keys.slotOf(parsed, slotCount);
 }
 
 /**
--- a/src/claims/keyed-runs.ts
+++ b/src/claims/keyed-runs.ts
@@ -195,7 +195,7 @@
       fingerprint,
     };
     const runId = `${account} ${key.text}`;
-    let settle!: (end: RunResult) => void;
+    let settle!: (result: RunResult) => void;
     const end = new Promise<RunResult>(resolve => {
       settle = resolve;
     });
@@ -234,14 +234,14 @@
 }
 
 function recordFields(
-  end: RunResult,
+  result: RunResult,
 ):
   | {state: 'ran'; answer: records.StoredResponse | null}
   | {state: 'burnt'}
   | {state: 'unknown'} {
-  switch (end.kind) {
+  switch (result.kind) {
     case 'ran':
-      return {state: 'ran', answer: end.answer};
+      return {state: 'ran', answer: result.answer};
     case 'not-run':
       return {state: 'burnt'};
     case 'unknown':
--- a/src/claims/keys.ts
+++ b/src/claims/keys.ts
@@ -25,18 +25,18 @@
 }
 
 /** The slot of a key: a hash of its random bits, independent of its time. */
-export function slotOf(key: RequestKey, slots: number): number {
+export function slotOf(key: RequestKey, slotCount: number): number {
   const random = key.text.slice('00000000-0000-'.length);
-  return murmurhash.v3(random) % slots;
+  return murmurhash.v3(random) % slotCount;
 }
 
 /**
  * Mints a key with this minting time in one of the allowed slots. Takes about
- * `slots / allowedSlots.size` attempts; never returns if there are none.
+ * `slotCount / allowedSlots.size` attempts; never returns if there are none.
  */
 export function mintKey(
   mintedAt: number,
-  slots: number,
+  slotCount: number,
   allowedSlots: ReadonlySet<number>,
 ): RequestKey {
   const RANDOM_BYTES = 16;
@@ -45,7 +45,7 @@
     randomFillSync(bytes);
     const text = uuid.v7({msecs: mintedAt, random: bytes});
     const key = {text, mintedAt};
-    if (allowedSlots.has(slotOf(key, slots))) {
+    if (allowedSlots.has(slotOf(key, slotCount))) {
       return key;
     }
   }
--- a/src/claims/owner-directory.ts
+++ b/src/claims/owner-directory.ts
@@ -1,6 +1,6 @@
 /**
  * An entry's cache of which sidecar owns each slot, fetched from the sidecars.
- * Entries may be stale: the owner itself decides, so a stale one costs only an
+ * A cached cell may be stale: the owner itself decides, so that costs only an
  * extra hop.
  */
 import * as random from '../random';
@@ -32,14 +32,14 @@
   async findOwner(
     service: string,
     key: keys.RequestKey,
-    slots: number,
+    slotCount: number,
   ): Promise<Owner | undefined> {
-    const known = this.lookUp(service, key, slots);
+    const known = this.lookUp(service, key, slotCount);
     if (known !== undefined) {
       return known;
     }
     await this.refresh(service);
-    return this.lookUp(service, key, slots);
+    return this.lookUp(service, key, slotCount);
   }
 
   /**
@@ -65,7 +65,7 @@
   async mintKeys(
     service: string,
     count: number,
-    slots: number,
+    slotCount: number,
     isLive: (targetId: string) => boolean,
     now: number,
   ): Promise<string[]> {
@@ -76,7 +76,7 @@
     }
     const minted: string[] = [];
     while (liveSlots.size > 0 && minted.length < count) {
-      minted.push(keys.mintKey(now, slots, liveSlots).text);
+      minted.push(keys.mintKey(now, slotCount, liveSlots).text);
     }
     return minted;
   }
@@ -98,9 +98,9 @@
   private lookUp(
     service: string,
     key: keys.RequestKey,
-    slots: number,
+    slotCount: number,
   ): Owner | undefined {
-    const slot = keys.slotOf(key, slots);
+    const slot = keys.slotOf(key, slotCount);
     const newest = this.newestCells(service).get(slot);
     if (newest !== undefined && newest.from <= key.mintedAt) {
       return newest.owner;
--- a/src/requests/entry-context.ts
+++ b/src/requests/entry-context.ts
@@ -98,8 +98,8 @@
   if (kind === undefined || !(kind in refusals.REFUSALS)) {
     return undefined;
   }
-  const limit = 64 * 1024;
-  const read = await body.readJson(res, limit);
+  const maxBytes = 64 * 1024;
+  const read = await body.readJson(res, maxBytes);
   const document = (read.ok ? read.value : {}) as {
     detail?: unknown;
     retryAfterMs?: unknown;
--- a/src/requests/entry-forward.ts
+++ b/src/requests/entry-forward.ts
@@ -53,14 +53,14 @@
 ): Promise<Result<ForwardedResponse, refusals.Refusal>> {
   const tried = new Set<string>();
   const outcomes: refusals.Outcome[] = [];
-  let last: refusals.Refusal | undefined;
+  let lastRefusal: refusals.Refusal | undefined;
   context.budget.noteFirstTry();
   for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
     const target = chooseTarget(context, caller, call, tried);
     if (target === undefined) {
       break;
     }
-    if (attempts > 0 && !mayRetry(context, caller, last)) {
+    if (attempts > 0 && !mayRetry(context, caller, lastRefusal)) {
       break;
     }
     tried.add(target.id);
@@ -70,12 +70,12 @@
     }
     outcomes.push(attempt.error.outcome);
     // An earlier attempt may have run even if a later one has not.
-    last = {...attempt.error, outcome: refusals.worstOutcome(outcomes)};
-    if (caller.signal.aborted || !FAILOVER_KINDS.has(last.kind)) {
+    lastRefusal = {...attempt.error, outcome: refusals.worstOutcome(outcomes)};
+    if (caller.signal.aborted || !FAILOVER_KINDS.has(lastRefusal.kind)) {
       break;
     }
   }
-  return fail(finalRefusal(context, call, last));
+  return fail(finalRefusal(context, call, lastRefusal));
 }
 
 /**
@@ -85,17 +85,21 @@
 function finalRefusal(
   context: entry.EntryContext,
   call: RoutableRequest,
-  last: refusals.Refusal | undefined,
+  lastRefusal: refusals.Refusal | undefined,
 ): refusals.Refusal {
   const cooldownMs = context.targets.restMs(call.eligible());
-  if (cooldownMs > 0 && (last === undefined || last.kind === 'resting')) {
-    const {outcome} = last ?? {outcome: 'not-run' as const};
+  if (
+    cooldownMs > 0 &&
+    (lastRefusal === undefined || lastRefusal.kind === 'resting')
+  ) {
+    const {outcome} = lastRefusal ?? {outcome: 'not-run' as const};
     const retryAfterMs = rests.spreadReturn(cooldownMs);
     const detail = 'all targets are in a cooldown';
     return {kind: 'resting', outcome, detail, retryAfterMs};
   }
   return (
-    last ?? refusals.notRun('no-target', 'no target is live', RETRY_AFTER_MS)
+    lastRefusal ??
+    refusals.notRun('no-target', 'no target is live', RETRY_AFTER_MS)
   );
 }
 
@@ -103,18 +107,18 @@
 function mayRetry(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
-  last: refusals.Refusal | undefined,
+  lastRefusal: refusals.Refusal | undefined,
 ): boolean {
   if (entry.remainingMs(caller) === 0) {
     return false;
   }
-  if (last?.kind !== 'leaving' && !context.budget.tryDraw()) {
+  if (lastRefusal?.kind !== 'leaving' && !context.budget.tryDraw()) {
     return false;
   }
   context.metrics.count('retries_total');
   context.log.event('requestRetried', {
     request: caller.id,
-    after: last?.kind,
+    after: lastRefusal?.kind,
   });
   return true;
 }
--- a/src/requests/entry-handler.ts
+++ b/src/requests/entry-handler.ts
@@ -202,8 +202,8 @@
     req: http.IncomingMessage,
     account: RenderedAccount,
   ): Promise<Result<ParsedRequest, refusals.Refusal>> {
-    const limit = 4_096;
-    const read = await body.readJson(req, limit);
+    const maxBytes = 4_096;
+    const read = await body.readJson(req, maxBytes);
     if (!read.ok) {
       return fail(responses.bodyRefusal(read.error));
     }
--- a/src/requests/entry-service.ts
+++ b/src/requests/entry-service.ts
@@ -151,7 +151,7 @@
 ): Promise<Result<http.IncomingMessage, refusals.Refusal>> {
   const giveUpAt = Math.min(Date.now() + OWNER_TIMEOUT_MS, caller.deadlineAt);
   let hint: string | undefined;
-  let last: refusals.Refusal | undefined;
+  let lastRefusal: refusals.Refusal | undefined;
   for (;;) {
     const {slots} = call.settings;
     const owner = await context.owners.findOwner(call.service, key, slots);
@@ -162,11 +162,11 @@
       if (attempt.ok || !isTransient(attempt.error.kind)) {
         return attempt;
       }
-      last = attempt.error;
+      lastRefusal = attempt.error;
       hint = ownerAddressIn(attempt.error, address);
     }
     if (Date.now() >= giveUpAt || caller.signal.aborted) {
-      return fail(await finalRefusal(context, caller, call, key, last));
+      return fail(await finalRefusal(context, caller, call, key, lastRefusal));
     }
     if (hint === undefined) {
       await sleep(random.jitter(OWNER_RETRY_INTERVAL_MS));
@@ -181,10 +181,10 @@
   caller: entry.CallerRequest,
   call: ServiceCall,
   key: keys.RequestKey,
-  last: refusals.Refusal | undefined,
+  lastRefusal: refusals.Refusal | undefined,
 ): Promise<refusals.Refusal> {
   const refusal =
-    last ??
+    lastRefusal ??
     refusals.unknownOutcome(
       'owner-unreachable',
       'the owner of the key is not known',
--- a/src/requests/event-stream.ts
+++ b/src/requests/event-stream.ts
@@ -6,7 +6,7 @@
 import type * as http from 'node:http';
 import {createParser} from 'eventsource-parser';
 import * as body from '../http/body';
-import * as sequence from './reorder-buffer';
+import * as reorderBuffer from './reorder-buffer';
 
 /** Data of the event that ends a complete stream. */
 export const DONE_DATA = '[DONE]';
@@ -59,7 +59,7 @@
 export async function readEvents(
   res: http.IncomingMessage,
   name: string,
-  buffer: sequence.ReorderBuffer<string>,
+  buffer: reorderBuffer.ReorderBuffer<string>,
   deliver: Deliver,
 ): Promise<StreamEnd> {
   let queue: RawEvent[] = [];
@@ -98,7 +98,7 @@
 async function handleEvent(
   event: RawEvent,
   name: string,
-  buffer: sequence.ReorderBuffer<string>,
+  buffer: reorderBuffer.ReorderBuffer<string>,
   deliver: Deliver,
 ): Promise<StreamEnd | undefined> {
   if (event.event === 'error') {
--- a/src/requests/headers.ts
+++ b/src/requests/headers.ts
@@ -44,13 +44,13 @@
   return `${request}-${sha256Hex(account).slice(0, ACCOUNT_DIGEST_DIGITS)}`;
 }
 
-/** The timeout in milliseconds, at most `limit`; undefined if malformed. */
+/** The timeout in milliseconds, at most `limitMs`; undefined if malformed. */
 export function parseTimeoutMs(
   text: string | undefined,
-  limit: number,
+  limitMs: number,
 ): number | undefined {
   if (text === undefined) {
-    return limit;
+    return limitMs;
   }
-  return /^\d{1,9}$/.test(text) ? Math.min(Number(text), limit) : undefined;
+  return /^\d{1,9}$/.test(text) ? Math.min(Number(text), limitMs) : undefined;
 }
--- a/src/requests/sidecar-chat.ts
+++ b/src/requests/sidecar-chat.ts
@@ -314,7 +314,7 @@
   }
 
   private async cancelAtEngine(name: string): Promise<void> {
-    const limit = 64 * 1024;
+    const maxBytes = 64 * 1024;
     await httpClient.fetchWhole(
       this.context.agent,
       {
@@ -323,7 +323,7 @@
         path: chatRequest.STREAMS_PATH + name,
         timeoutMs: STREAM_CALL_TIMEOUT_MS,
       },
-      limit,
+      maxBytes,
     );
   }
 
--- a/src/requests/sidecar-service.ts
+++ b/src/requests/sidecar-service.ts
@@ -134,8 +134,8 @@
         this.sendResult(incoming, await admission.end, true);
         return;
       case 'run': {
-        const end = await this.runOnce(call, admission.finish);
-        this.sendResult(incoming, end.end, false, end.refusal);
+        const run = await this.runOnce(call, admission.finish);
+        this.sendResult(incoming, run.end, false, run.refusal);
         return;
       }
     }
