--- a/bench/routing.ts
+++ b/bench/routing.ts
@@ -5,7 +5,7 @@
  */
 import * as random from '../src/random';
 import * as policies from '../src/routing/policy';
-import {PrefixMemory} from '../src/routing/prefixes';
+import {PrefixIndex} from '../src/routing/prefix-index';
 import * as score from '../src/routing/score';
 import type {Candidate, Policy} from '../src/routing/types';
 import * as fakes from './fake-engines';
@@ -40,7 +40,7 @@
 
 /** What one entry believes of the targets. */
 class EntryView {
-  readonly prefixes = new PrefixMemory();
+  readonly prefixes = new PrefixIndex();
   private readonly views = new Map<string, View>();
 
   constructor(readonly hall: string) {}
@@ -107,10 +107,10 @@
       rankMs: view.rankMs,
     },
     loadAgeMs: now - view.at,
-    sentSince: unseen.requests,
-    sentTokens: unseen.tokens,
+    sentSinceReport: unseen.requests,
+    tokensSentSinceReport: unseen.tokens,
     inFlight: view.inFlight,
-    cachedTokens: entry.prefixes.tokensAt(prefix, rank.id),
+    cachedTokens: entry.prefixes.cachedTokensAt(prefix, rank.id),
   };
 }
 
@@ -179,7 +179,7 @@
     );
     const {rank, group} = ranks.find(r => r.rank.id === decision.chosen)!;
     const view = entry.view(rank.id);
-    const known = entry.prefixes.tokensAt(request.prefix, rank.id);
+    const known = entry.prefixes.cachedTokensAt(request.prefix, rank.id);
     view.sent.note(now, request.prefixTokens + request.ownTokens - known);
     view.inFlight += 1;
     senders.set(request, {entry, id: rank.id});
--- a/src/forwarding/call.ts
+++ b/src/forwarding/call.ts
@@ -3,36 +3,36 @@
 import type {Timing} from '../observability/metrics';
 import type {Route} from '../routes/types';
 import type {ForwarderContext} from './forwarder';
-import type {AnswerHead, Refusal, RequestHead} from './types';
+import type {ResponseHead, Refusal, RequestHead} from './types';
 
 /** Stands for requests without a client account. */
-const OPEN_ACCOUNT = 'none';
+const NO_ACCOUNT = 'none';
 
 export class Call {
   head: RequestHead | undefined;
   /** Monotonic time at which the caller must have its answer. */
-  endsAt = Infinity;
+  deadline = Infinity;
   readonly startedAt = performance.now();
   /** Sends so far, over all targets. */
-  sends = 0;
+  sendCount = 0;
   /** Sends that may have run. */
-  runs = 0;
+  possibleRunCount = 0;
   /** Sends that were lost with their connection. */
-  losses = 0;
+  lossCount = 0;
   /** True where the caller has likely tried before. */
-  isLater = false;
-  target = '';
+  isLikelyRetry = false;
+  lastTargetId = '';
   private route: Route | undefined;
-  private readonly left = new AbortController();
+  private readonly abortController = new AbortController();
   private isAnswered = false;
   /** Milliseconds until the first event; undefined: none came. */
-  private firstMs: number | undefined;
+  private firstEventMs: number | undefined;
   private lastEventAt = 0;
   /** Longest time without an event after the first. */
-  private pauseMs = 0;
+  private longestPauseMs = 0;
   /** When that pause ended, in milliseconds since the start. */
-  private pauseEndMs = 0;
-  private account = OPEN_ACCOUNT;
+  private longestPauseEndMs = 0;
+  private account = NO_ACCOUNT;
 
   constructor(
     readonly req: http.IncomingMessage,
@@ -42,52 +42,52 @@
   ) {
     res.once('close', () => {
       if (!res.writableFinished) {
-        this.left.abort();
+        this.abortController.abort();
       }
     });
   }
 
   /** True where a part of the answer is out. */
-  get hasBegun(): boolean {
+  get hasSentHead(): boolean {
     return this.res.headersSent;
   }
 
   /** Aborted when the caller has left. */
   get signal(): AbortSignal {
-    return this.left.signal;
+    return this.abortController.signal;
   }
 
-  get hasLeft(): boolean {
-    return this.left.signal.aborted;
+  get isCallerGone(): boolean {
+    return this.abortController.signal.aborted;
   }
 
-  get leftMs(): number {
-    return this.endsAt - performance.now();
+  get timeLeftMs(): number {
+    return this.deadline - performance.now();
   }
 
   /** What the caller itself has left; a route may allow less. */
-  get callerLeftMs(): number {
+  get callerTimeLeftMs(): number {
     const allowedMs = this.head?.timeLeftMs;
     return allowedMs === undefined
-      ? this.leftMs
+      ? this.timeLeftMs
       : this.startedAt + allowedMs - performance.now();
   }
 
   /** Sets the route and the time that the request may take. */
   setRoute(route: Route, account: string | undefined, timeMs: number): void {
     this.route = route;
-    this.account = account ?? OPEN_ACCOUNT;
-    this.endsAt = this.startedAt + timeMs;
+    this.account = account ?? NO_ACCOUNT;
+    this.deadline = this.startedAt + timeMs;
   }
 
   /** Notes how a send ended. */
   noteOutcome(mayHaveRun: boolean): void {
-    this.runs += mayHaveRun ? 1 : 0;
+    this.possibleRunCount += mayHaveRun ? 1 : 0;
   }
 
   /** Answers with a refusal or failure of our own. */
   refuse(refusal: Refusal): void {
-    if (this.isAnswered || this.hasLeft) {
+    if (this.isAnswered || this.isCallerGone) {
       this.end('caller-left');
       return;
     }
@@ -107,14 +107,14 @@
   }
 
   /** Passes a target's whole answer on. */
-  pass(head: AnswerHead, body: Buffer): void {
-    if (this.isAnswered || this.hasLeft) {
+  forwardResponse(head: ResponseHead, body: Buffer): void {
+    if (this.isAnswered || this.isCallerGone) {
       this.end('caller-left');
       return;
     }
     this.isAnswered = true;
     this.res.writeHead(head.status, [
-      ...withoutLength(head.passedHeaders),
+      ...withoutLength(head.forwardedHeaders),
       'Content-Length',
       String(body.length),
       ...this.connectionHeaders(false),
@@ -124,11 +124,11 @@
   }
 
   /** Begins to pass a stream on. */
-  beginStream(head: AnswerHead): void {
+  beginStream(head: ResponseHead): void {
     this.isAnswered = true;
-    this.time('first_token');
+    this.recordTiming('first_token');
     this.res.writeHead(head.status, [
-      ...withoutLength(head.passedHeaders),
+      ...withoutLength(head.forwardedHeaders),
       ...this.connectionHeaders(false),
     ]);
   }
@@ -136,11 +136,11 @@
   /** Notes that events of a stream have come. */
   noteEvents(): void {
     const now = performance.now();
-    if (this.firstMs === undefined) {
-      this.firstMs = now - this.startedAt;
-    } else if (now - this.lastEventAt > this.pauseMs) {
-      this.pauseMs = now - this.lastEventAt;
-      this.pauseEndMs = now - this.startedAt;
+    if (this.firstEventMs === undefined) {
+      this.firstEventMs = now - this.startedAt;
+    } else if (now - this.lastEventAt > this.longestPauseMs) {
+      this.longestPauseMs = now - this.lastEventAt;
+      this.longestPauseEndMs = now - this.startedAt;
     }
     this.lastEventAt = now;
   }
@@ -151,7 +151,7 @@
     const ms = Math.round(performance.now() - this.startedAt);
     const late = this.lateness(ms);
     metrics.count('requests_total', {outcome});
-    this.time('whole');
+    this.recordTiming('whole');
     if (late !== undefined) {
       metrics.count('late_total', {late, outcome});
     }
@@ -160,8 +160,8 @@
       route: this.route?.name,
       outcome,
       status,
-      target: this.target,
-      sends: this.sends,
+      target: this.lastTargetId,
+      sends: this.sendCount,
       ms,
       late,
       ...this.streamTimes(),
@@ -174,33 +174,34 @@
     if (route === undefined || route.objectiveMs === 0) {
       return undefined;
     }
-    const firstMs = route.kind === 'stream' ? (this.firstMs ?? 0) : wholeMs;
+    const firstMs =
+      route.kind === 'stream' ? (this.firstEventMs ?? 0) : wholeMs;
     if (firstMs > route.objectiveMs) {
       return 'first-event';
     }
-    const isPaused = route.pauseMs > 0 && this.pauseMs > route.pauseMs;
+    const isPaused = route.pauseMs > 0 && this.longestPauseMs > route.pauseMs;
     return isPaused ? 'pause' : undefined;
   }
 
   private streamTimes(): object {
-    return this.firstMs === undefined
+    return this.firstEventMs === undefined
       ? {}
       : {
-          firstMs: Math.round(this.firstMs),
-          pauseMs: Math.round(this.pauseMs),
-          pauseEndMs: Math.round(this.pauseEndMs),
+          firstMs: Math.round(this.firstEventMs),
+          pauseMs: Math.round(this.longestPauseMs),
+          pauseEndMs: Math.round(this.longestPauseEndMs),
         };
   }
 
   /** Whatever happened, the connection ends where nothing was answered. */
   close(): void {
-    if (!this.res.headersSent && !this.hasLeft) {
+    if (!this.res.headersSent && !this.isCallerGone) {
       this.res.destroy();
     }
   }
 
   /** Notes the time since the start, by client account and kind of route. */
-  private time(timing: Timing): void {
+  private recordTiming(timing: Timing): void {
     const ms = performance.now() - this.startedAt;
     const kind = this.route?.kind ?? 'no-route';
     this.context.metrics.time(timing, this.account, kind, ms);
--- a/src/forwarding/event-splitter.ts
+++ b/src/forwarding/event-splitter.ts
@@ -13,26 +13,26 @@
   lastId: string | undefined;
   /** Whole events so far. */
   count = 0;
-  private rest: Buffer = Buffer.alloc(0);
+  private pending: Buffer = Buffer.alloc(0);
 
   /** Bytes that belong to an event that is not whole yet. */
   get partial(): Buffer {
-    return this.rest;
+    return this.pending;
   }
 
   get isTooLong(): boolean {
-    return this.rest.length > MAX_EVENT_BYTES;
+    return this.pending.length > MAX_EVENT_BYTES;
   }
 
   /** Drops the event that broke off; another target sends it whole. */
   discardPartial(): void {
-    this.rest = Buffer.alloc(0);
+    this.pending = Buffer.alloc(0);
   }
 
   /** Takes a chunk; answers the whole events in it, in their own bytes. */
   push(chunk: Buffer): Buffer {
     const all =
-      this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+      this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     let begin = 0;
     let lineStart = 0;
     for (let at = 0; at < all.length; at += 1) {
@@ -43,16 +43,16 @@
       const isBlank =
         length === 0 || (length === 1 && all[lineStart] === CARRIAGE_RETURN);
       if (isBlank) {
-        this.note(all.subarray(begin, at + 1));
+        this.recordEvent(all.subarray(begin, at + 1));
         begin = at + 1;
       }
       lineStart = at + 1;
     }
-    this.rest = all.subarray(begin);
+    this.pending = all.subarray(begin);
     return all.subarray(0, begin);
   }
 
-  private note(event: Buffer): void {
+  private recordEvent(event: Buffer): void {
     const id = /^id: ?([^\r\n]*)/m.exec(event.toString('latin1'))?.[1];
     this.count += 1;
     this.lastId = id ?? this.lastId;
--- a/src/forwarding/exchange.ts
+++ b/src/forwarding/exchange.ts
@@ -3,8 +3,8 @@
 import * as bodies from '../http/body';
 import * as httpClient from '../http/client';
 import type {
-  Addressee,
-  AnswerHead,
+  RequestMetadata,
+  ResponseHead,
   FailureReason,
   RequestHead,
   Target,
@@ -12,25 +12,25 @@
 } from './types';
 
 /** Cap on an answer that is read whole. */
-const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
+const MAX_BODY_BYTES = 16 * 1024 * 1024;
 /**
  * Milliseconds until a new connection must be up: some round trips within a
  * region, and well under the second after which an opening packet is sent
  * again.
  */
-const CONNECT_MS = 400;
+const CONNECT_TIMEOUT_MS = 400;
 
 /** Statuses that promise that nothing ran. */
-const PROMISES = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 /** How a send ended. */
 export type Outcome =
   /** A whole answer of the target to this request. */
-  | {readonly kind: 'answered'; readonly head: AnswerHead; body: Buffer}
+  | {readonly kind: 'answered'; readonly head: ResponseHead; body: Buffer}
   /** The head of a stream; its events follow. */
   | {
       readonly kind: 'streaming';
-      readonly head: AnswerHead;
+      readonly head: ResponseHead;
       readonly res: http.IncomingMessage;
     }
   /** Certainly not run: the target says so, or nothing was sent. */
@@ -41,42 +41,45 @@
   | {readonly kind: 'cancelled'};
 
 /** One send. */
-export interface Send {
+export interface SendOptions {
   readonly agent: http.Agent;
   readonly target: Target;
   readonly head: RequestHead;
   readonly body: Buffer | undefined;
-  readonly to: Addressee;
+  readonly metadata: RequestMetadata;
   readonly isStream: boolean;
   /** Monotonic time at which the caller must have its answer. */
-  readonly endsAt: number;
+  readonly deadline: number;
   /** Aborted when the caller has left. */
   readonly signal: AbortSignal;
   /**
    * Hears what the target says before its body, whatever becomes of the answer:
    * also one that is thrown away tells how the target is.
    */
-  onHead(head: AnswerHead): void;
+  onHead(head: ResponseHead): void;
 }
 
 /** Sends a request and reads the answer, or a stream's head. */
-export async function exchange(wire: Wire, send: Send): Promise<Outcome> {
-  const leftMs = send.endsAt - performance.now();
+export async function exchange(
+  wire: Wire,
+  send: SendOptions,
+): Promise<Outcome> {
+  const leftMs = send.deadline - performance.now();
   const answer = await httpClient.send(send.agent, {
     address: send.target.address,
     method: send.head.method,
     path: send.head.path,
-    headers: wire.targetHeaders(send.head, send.to),
+    headers: wire.targetHeaders(send.head, send.metadata),
     body: send.body,
     timeoutMs: leftMs,
-    connectMs: CONNECT_MS,
+    connectMs: CONNECT_TIMEOUT_MS,
     signal: send.signal,
   });
   if (!answer.ok) {
-    return judgeError(answer.error);
+    return outcomeOfError(answer.error);
   }
   const res = answer.value;
-  const head = wire.readAnswer(res);
+  const head = wire.readResponse(res);
   send.onHead(head);
   if (head.requestId !== send.head.id) {
     res.destroy();
@@ -90,20 +93,20 @@
   if (isSuccess && send.isStream) {
     return {kind: 'streaming', head, res};
   }
-  return readWhole(send, head, res);
+  return readWholeBody(send, head, res);
 }
 
-async function readWhole(
-  send: Send,
-  head: AnswerHead,
+async function readWholeBody(
+  send: SendOptions,
+  head: ResponseHead,
   res: http.IncomingMessage,
 ): Promise<Outcome> {
   let isLate = false;
   const timer = setTimeout(() => {
     isLate = true;
     res.destroy();
-  }, send.endsAt - performance.now());
-  const read = await bodies.readBody(res, MAX_ANSWER_BYTES);
+  }, send.deadline - performance.now());
+  const read = await bodies.readBody(res, MAX_BODY_BYTES);
   clearTimeout(timer);
   if (send.signal.aborted) {
     return {kind: 'cancelled'};
@@ -118,14 +121,14 @@
     res.destroy();
     return {kind: 'unknown', why: 'broken-answer'};
   }
-  if (PROMISES.has(head.status)) {
+  if (NOT_RUN_STATUSES.has(head.status)) {
     // Passed on, it would promise what the target did not say.
     return {kind: 'unknown', why: 'unproven-refusal'};
   }
   return {kind: 'answered', head, body: read.value};
 }
 
-function judgeError(err: httpClient.CallError): Outcome {
+function outcomeOfError(err: httpClient.CallError): Outcome {
   switch (err.kind) {
     case 'no-connection':
       return {kind: 'not-run', status: undefined};
--- a/src/forwarding/forwarder.ts
+++ b/src/forwarding/forwarder.ts
@@ -13,10 +13,10 @@
 import {CurrentConfiguration} from '../routes/current';
 import * as tables from '../routes/table';
 import type {ClientAccount, Route} from '../routes/types';
-import {TargetConnections} from './agents';
-import {AttemptAges} from './attempt-ages';
+import {TargetConnections} from './target-connections';
+import {RetryDetector} from './retry-detector';
 import {Call} from './call';
-import {TargetLoads} from './choose';
+import {LoadBalancer} from './load-balancer';
 import {GroupGate} from './group-gate';
 import {GroupViews} from './group-views';
 import {PlainRelay} from './plain-relay';
@@ -32,18 +32,18 @@
   readonly wire: types.Wire;
   readonly configuration: CurrentConfiguration;
   readonly targets: TargetList;
-  readonly loads: TargetLoads;
+  readonly balancer: LoadBalancer;
   readonly gate: GroupGate;
   readonly views: GroupViews;
   readonly reach: Reach;
   readonly connections: TargetConnections;
   readonly crashes: CrashExchange;
   /** Entries of the site that are known, this one among them. */
-  knownEntries(): number;
+  knownEntryCount(): number;
   /** Resolves once requests can be routed somewhere, or after the wait. */
-  whenComplete(waitMs: number): Promise<void>;
+  whenRoutable(waitMs: number): Promise<void>;
   /** Callers are better served by another entry. */
-  isCutOff(): boolean;
+  isIsolated(): boolean;
   readonly log: Log;
   readonly metrics: Metrics;
 }
@@ -53,12 +53,12 @@
  * trusts keys without hearing from the store. The rest covers the way to the
  * target.
  */
-const TRUSTED_SHARE = 0.85;
+const KEY_TRUST_SHARE = 0.85;
 /**
  * Milliseconds without the store after which an unknown route or key may
  * just be a new one, and the caller is asked to come back.
  */
-const STALE_MS = 2_400;
+const STALE_CONFIGURATION_MS = 2_400;
 /** When to come back where there is no configuration to decide with. */
 const NO_CONFIGURATION_RETRY_MS = 500;
 /**
@@ -66,15 +66,15 @@
  * milliseconds. A caller who is refused instead comes back later and has spent a
  * try.
  */
-const FIRST_WAIT_MS = 350;
+const STARTUP_WAIT_MS = 350;
 const DEFAULT_TIME_LEFT_MS = 60_000;
 
 export class Forwarder {
   private readonly budgets = new Map<string, RetryBudget>();
   private readonly plain: PlainRelay;
   private readonly streams: StreamRelay;
-  private readonly ages = new AttemptAges();
-  private open = 0;
+  private readonly retryDetector = new RetryDetector();
+  private openRequests = 0;
   private isStopping = false;
 
   constructor(private readonly context: ForwarderContext) {
@@ -86,7 +86,7 @@
 
   /** Requests that are being served. */
   get openCount(): number {
-    return this.open;
+    return this.openRequests;
   }
 
   /** From now on every answer asks the caller to leave the connection. */
@@ -95,18 +95,18 @@
   }
 
   /** Serves one request. */
-  async answer(
+  async handle(
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
-    this.open += 1;
+    this.openRequests += 1;
     const call = new Call(req, res, this.context, () =>
-      this.wantsCallersGone(),
+      this.shouldCloseConnections(),
     );
     try {
       await this.serve(call);
     } finally {
-      this.open -= 1;
+      this.openRequests -= 1;
       call.close();
     }
   }
@@ -118,23 +118,23 @@
       return;
     }
     call.head = head;
-    await this.context.whenComplete(FIRST_WAIT_MS);
-    const route = this.route(call, head);
-    if (route === undefined) {
+    await this.context.whenRoutable(STARTUP_WAIT_MS);
+    const authorize = this.route(call, head);
+    if (authorize === undefined) {
       return;
     }
     const timeLeftMs = head.timeLeftMs ?? DEFAULT_TIME_LEFT_MS;
     call.setRoute(
-      route.route,
-      route.account?.name,
-      Math.min(timeLeftMs, route.route.timeoutMs),
+      authorize.route,
+      authorize.account?.name,
+      Math.min(timeLeftMs, authorize.route.timeoutMs),
     );
-    call.isLater =
+    call.isLikelyRetry =
       head.timeLeftMs !== undefined &&
-      this.ages.isLater(
-        route.route.name,
+      this.retryDetector.isLikelyRetry(
+        authorize.route.name,
         head.timeLeftMs,
-        route.route.timeoutMs,
+        authorize.route.timeoutMs,
       );
     const limit = this.context.configuration.table!.snapshot.limits.bodyBytes;
     const body = await bodies.readBody(call.req, limit);
@@ -144,16 +144,16 @@
       }
       return;
     }
-    const service = tables.pickService(route.route, random.unit());
+    const service = tables.pickService(authorize.route, random.unit());
     const request = {
       head,
       body: hasBody(call.req) ? body.value : undefined,
-      route: route.route,
+      route: authorize.route,
       service,
-      account: route.account,
+      account: authorize.account,
     };
     this.budgetOf(service).noteRequest(performance.now());
-    const relay = route.route.kind === 'stream' ? this.streams : this.plain;
+    const relay = authorize.route.kind === 'stream' ? this.streams : this.plain;
     await relay.relay(call, request);
   }
 
@@ -177,14 +177,14 @@
     };
     const route = table.findRoute(head.host, head.path);
     if (route === undefined) {
-      call.refuse(ageMs > STALE_MS ? stale : {kind: 'no-route'});
+      call.refuse(ageMs > STALE_CONFIGURATION_MS ? stale : {kind: 'no-route'});
       return undefined;
     }
     if (!table.needsKey(route)) {
       return {route, account: undefined};
     }
     const trustedMs = cfg.isRevocationStrict
-      ? cfg.revocationMs * TRUSTED_SHARE
+      ? cfg.revocationMs * KEY_TRUST_SHARE
       : Infinity;
     if (ageMs > trustedMs) {
       call.refuse(stale);
@@ -193,15 +193,17 @@
     const account =
       head.key === undefined ? undefined : table.findAccount(head.key);
     if (account === undefined) {
-      call.refuse(ageMs > STALE_MS ? stale : {kind: 'unknown-key'});
+      call.refuse(
+        ageMs > STALE_CONFIGURATION_MS ? stale : {kind: 'unknown-key'},
+      );
       return undefined;
     }
     return {route, account};
   }
 
   /** Callers that hold a connection here are better served elsewhere. */
-  private wantsCallersGone(): boolean {
-    return this.isStopping || this.context.isCutOff();
+  private shouldCloseConnections(): boolean {
+    return this.isStopping || this.context.isIsolated();
   }
 
   private budgetOf(service: string): RetryBudget {
@@ -209,7 +211,7 @@
     if (budget === undefined) {
       budget = new RetryBudget(
         () => this.context.cfg.retryBudget,
-        () => this.context.knownEntries(),
+        () => this.context.knownEntryCount(),
       );
       this.budgets.set(service, budget);
     }
--- a/src/forwarding/group-choice.test.ts
+++ b/src/forwarding/group-choice.test.ts
@@ -1,5 +1,5 @@
 import * as random from '../random';
-import {GroupOption, chooseGroup, groupsOf, widest} from './group-choice';
+import {GroupOption, chooseGroup, groupsOf, leastLoaded} from './group-choice';
 import type {Target} from './types';
 
 function rank(group: string | undefined, at: number): Target {
@@ -20,7 +20,7 @@
 
 function option(name: string, most: number, requests: number): GroupOption {
   const room = {most, requests, imbalance: 1, slowness: 1, ageMs: 0};
-  return {name, targets: [rank(name, 0)], room};
+  return {name, targets: [rank(name, 0)], capacity: room};
 }
 
 /** How often each group is chosen. */
@@ -60,12 +60,14 @@
   it('finds none where all are full', () => {
     const options = [option('a', 100, 100), option('b', 100, 130)];
     expect(counts(options)).toEqual({none: 1_000});
-    expect(widest(options)?.requests).toBe(100);
+    expect(leastLoaded(options)?.requests).toBe(100);
   });
 
   it('takes targets without a group as they are', () => {
     const [plain] = groupsOf([rank(undefined, 0), rank(undefined, 1)]);
-    expect(chooseGroup([{...plain!, room: undefined}])).toMatchObject(plain!);
+    expect(chooseGroup([{...plain!, capacity: undefined}])).toMatchObject(
+      plain!,
+    );
     expect(chooseGroup([])).toBeUndefined();
   });
 });
--- a/src/forwarding/group-choice.ts
+++ b/src/forwarding/group-choice.ts
@@ -5,7 +5,7 @@
  */
 import * as grouping from '../grouping';
 import * as random from '../random';
-import type {GroupRoom} from './group-views';
+import type {GroupCapacity} from './group-views';
 import type {Target} from './types';
 
 /** The targets of a service that belong together. */
@@ -18,7 +18,7 @@
 /** A group that may take a request. */
 export interface GroupOption extends TargetGroup {
   /** Undefined: it has no limit of its own. */
-  readonly room: GroupRoom | undefined;
+  readonly capacity: GroupCapacity | undefined;
 }
 
 /** Targets by their group, in the order in which groups come first. */
@@ -35,7 +35,7 @@
 export function chooseGroup(
   options: readonly GroupOption[],
 ): GroupOption | undefined {
-  const weights = options.map(({room, targets}) =>
+  const weights = options.map(({capacity: room, targets}) =>
     room === undefined
       ? targets.length
       : Math.max(room.most - room.requests, 0),
@@ -48,8 +48,10 @@
 }
 
 /** The room that is nearest to being enough, for who is refused. */
-export function widest(options: readonly GroupOption[]): GroupRoom | undefined {
-  const rooms = options.flatMap(({room}) => room ?? []);
-  const shareOf = (room: GroupRoom) => room.requests / room.most;
+export function leastLoaded(
+  options: readonly GroupOption[],
+): GroupCapacity | undefined {
+  const rooms = options.flatMap(({capacity: room}) => room ?? []);
+  const shareOf = (room: GroupCapacity) => room.requests / room.most;
   return rooms.sort((a, b) => shareOf(a) - shareOf(b))[0];
 }
--- a/src/forwarding/group-gate.ts
+++ b/src/forwarding/group-gate.ts
@@ -8,19 +8,19 @@
  */
 
 /** Two ranks that refuse within this time close a group, in milliseconds. */
-const CLOSING_MS = 150;
+const REFUSAL_WINDOW_MS = 150;
 /** Time between trials of a closed group: some passes. */
-const TRIAL_MS = 60;
+const PROBE_INTERVAL_MS = 60;
 /** Without a trial or a word for so long a group counts as open again. */
-const FORGET_MS = 1_000;
+const CLOSED_EXPIRY_MS = 1_000;
 /**
  * While a sidecar's word that the group is closed is no older, nothing is sent
  * there to find out: longer than sidecars are silent.
  */
-const TOLD_MS = 700;
+const REPORT_VALID_MS = 700;
 
 /** What a sidecar's word changed. */
-export type ToldChange = 'opened' | 'closed' | 'known';
+export type ReportEffect = 'opened' | 'closed' | 'known';
 
 interface GroupState {
   /** The rank that refused last, with none that took a request since. */
@@ -28,20 +28,23 @@
   refusedAt: number;
   isClosed: boolean;
   closedAt: number;
-  triedAt: number;
+  probedAt: number;
   /** When a sidecar last saw that the group is closed. */
-  toldAt: number;
-  readonly waiting: Set<() => void>;
+  reportedClosedAt: number;
+  readonly waiters: Set<() => void>;
 }
 
 export class GroupGate {
   private readonly groups = new Map<string, GroupState>();
   /** When groups were last known to be open. */
-  private readonly openAt = new Map<string, number>();
+  private readonly lastOpenAt = new Map<string, number>();
 
   /** A rank took a request: the group is open. */
-  noteTaken(group: string, now: number): void {
-    this.openAt.set(group, Math.max(now, this.openAt.get(group) ?? now));
+  noteAccepted(group: string, now: number): void {
+    this.lastOpenAt.set(
+      group,
+      Math.max(now, this.lastOpenAt.get(group) ?? now),
+    );
     this.open(group);
   }
 
@@ -49,21 +52,21 @@
    * What a sidecar saw of the group at a time; answers what that changed. Word
    * that is older than what was learnt by a request is passed over.
    */
-  noteTold(group: string, isOpen: boolean, at: number): ToldChange {
+  noteReport(group: string, isOpen: boolean, at: number): ReportEffect {
     const state = this.groups.get(group);
     if (isOpen) {
       const opens = state !== undefined && at > state.refusedAt;
       if (opens || state === undefined) {
-        this.noteTaken(group, at);
+        this.noteAccepted(group, at);
       }
       return opens && state.isClosed ? 'opened' : 'known';
     }
-    if (at <= (this.openAt.get(group) ?? -Infinity)) {
+    if (at <= (this.lastOpenAt.get(group) ?? -Infinity)) {
       return 'known';
     }
     const closed = state ?? newState('', at);
     this.groups.set(group, closed);
-    closed.toldAt = Math.max(closed.toldAt, at);
+    closed.reportedClosedAt = Math.max(closed.reportedClosedAt, at);
     const closes = !closed.isClosed;
     if (closes) {
       closed.isClosed = true;
@@ -74,14 +77,14 @@
 
   /** True where the group was open at some time since this process began. */
   hasBeenOpen(group: string): boolean {
-    return this.openAt.has(group);
+    return this.lastOpenAt.has(group);
   }
 
   private open(group: string): void {
     const state = this.groups.get(group);
     if (state !== undefined) {
       this.groups.delete(group);
-      state.waiting.forEach(wake => wake());
+      state.waiters.forEach(wake => wake());
     }
   }
 
@@ -95,7 +98,7 @@
     const closes =
       !state.isClosed &&
       state.refusedBy !== rank &&
-      now - state.refusedAt < CLOSING_MS;
+      now - state.refusedAt < REFUSAL_WINDOW_MS;
     if (closes) {
       state.isClosed = true;
       state.closedAt = now;
@@ -111,7 +114,10 @@
     if (state === undefined || !state.isClosed) {
       return 0;
     }
-    if (now - Math.max(state.triedAt, state.toldAt) > FORGET_MS) {
+    if (
+      now - Math.max(state.probedAt, state.reportedClosedAt) >
+      CLOSED_EXPIRY_MS
+    ) {
       this.open(group!);
       return 0;
     }
@@ -119,15 +125,18 @@
   }
 
   /** True where a request may go to the group; a closed one's trial is noted. */
-  mayEnter(group: string | undefined, now: number): boolean {
+  tryEnter(group: string | undefined, now: number): boolean {
     if (this.closedMs(group, now) === 0) {
       return true;
     }
     const state = this.groups.get(group!)!;
-    if (now - state.toldAt < TOLD_MS || now - state.triedAt < TRIAL_MS) {
+    if (
+      now - state.reportedClosedAt < REPORT_VALID_MS ||
+      now - state.probedAt < PROBE_INTERVAL_MS
+    ) {
       return false;
     }
-    state.triedAt = now;
+    state.probedAt = now;
     return true;
   }
 
@@ -135,17 +144,20 @@
    * Resolves when the group opens, the next trial is due, or at abort;
    * without a group after the time between trials.
    */
-  waitForTurn(group: string | undefined, signal: AbortSignal): Promise<void> {
+  waitForOpenOrProbe(
+    group: string | undefined,
+    signal: AbortSignal,
+  ): Promise<void> {
     const state = group === undefined ? undefined : this.groups.get(group);
     return new Promise(resolve => {
       const wake = () => {
         clearTimeout(timer);
-        state?.waiting.delete(wake);
+        state?.waiters.delete(wake);
         signal.removeEventListener('abort', wake);
         resolve();
       };
-      const timer = setTimeout(wake, TRIAL_MS);
-      state?.waiting.add(wake);
+      const timer = setTimeout(wake, PROBE_INTERVAL_MS);
+      state?.waiters.add(wake);
       signal.addEventListener('abort', wake, {once: true});
     });
   }
@@ -158,8 +170,8 @@
     refusedAt: now,
     isClosed: false,
     closedAt: 0,
-    triedAt: now,
-    toldAt: -Infinity,
-    waiting: new Set(),
+    probedAt: now,
+    reportedClosedAt: -Infinity,
+    waiters: new Set(),
   };
 }
--- a/src/forwarding/group-limit.ts
+++ b/src/forwarding/group-request-limit.ts
@@ -7,7 +7,7 @@
 import type {EngineFigures} from '../routes/types';
 
 /** What is known of a group that decides how long its passes are. */
-export interface GroupPace {
+export interface PassFactors {
   /** Ranks in the group. */
   readonly size: number;
   /** Most loaded rank over the mean, averaged over sets; 1 is even. */
@@ -17,20 +17,20 @@
 }
 
 /** Requests of the fullest rank over the mean. */
-const FULLEST_RANK = 1.25;
+const FULLEST_RANK_RATIO = 1.25;
 /** Part of the pause that a pass may take: passes are not all alike. */
 const PAUSE_SHARE = 0.93;
 /**
  * Where fewer than this part of the slots could be used, the pause can't be
  * kept whatever is refused, and all are served as well as they can be.
  */
-const LEAST_SHARE = 0.3;
+const MIN_SLOT_SHARE = 0.3;
 /** Beyond the slots requests wait; a few fill places that become free. */
-const QUEUE_SHARE = 1.05;
+const MAX_SLOT_SHARE = 1.05;
 const THOUSAND = 1_000;
 
 /** Milliseconds of work that a request is to its rank in one pass. */
-function workPerPass(engine: EngineFigures): number {
+function workMsPerPass(engine: EngineFigures): number {
   const context = engine.usualPrompt + engine.usualAnswer / 2;
   const step =
     engine.perSequenceMs + (engine.perContextKMs * context) / THOUSAND;
@@ -45,20 +45,20 @@
 /** Milliseconds of a pass with so many requests a rank. */
 export function passMs(
   engine: EngineFigures,
-  pace: GroupPace,
+  pace: PassFactors,
   perRank: number,
 ): number {
   const share = engine.experts?.share ?? 0;
-  const work = workPerPass(engine) * perRank;
+  const work = workMsPerPass(engine) * perRank;
   const fixed = engine.stepMs * engine.stride;
-  const own = fixed + (1 - share) * work * FULLEST_RANK;
+  const own = fixed + (1 - share) * work * FULLEST_RANK_RATIO;
   return Math.max(own, fixed * pace.slowness) + share * work * pace.imbalance;
 }
 
 /** Requests that the group may work on at once. */
-export function mostRequests(
+export function maxRequests(
   engine: EngineFigures,
-  pace: GroupPace,
+  pace: PassFactors,
   pauseMs: number,
 ): number {
   const {size} = pace;
@@ -67,6 +67,6 @@
   const eachMs = passMs(engine, pace, engine.slots) - first;
   const left = pauseMs * PAUSE_SHARE - first;
   const timely = eachMs > 0 ? (left / eachMs) * full : full;
-  const cap = full * QUEUE_SHARE;
-  return timely < full * LEAST_SHARE ? cap : Math.min(timely, cap);
+  const cap = full * MAX_SLOT_SHARE;
+  return timely < full * MIN_SLOT_SHARE ? cap : Math.min(timely, cap);
 }
--- a/src/forwarding/group-views.test.ts
+++ b/src/forwarding/group-views.test.ts
@@ -64,13 +64,13 @@
     hall: 'h',
     rpcPort: 1,
     ranks: () => ranks,
-    entries: () => ENTRIES,
-    onSeen: () => undefined,
+    knownEntryCount: () => ENTRIES,
+    onGroupState: () => undefined,
     // One request of this entry at each fourth rank.
     inFlight: lifetime =>
       ranks.findIndex(one => one.lifetime === lifetime) % 4 === 0 ? 1 : 0,
   });
-  views.update();
+  views.pollNewGroups();
   await new Promise(resolve => setTimeout(resolve, 120));
   return views;
 }
@@ -85,7 +85,12 @@
 describe('the room of a group', () => {
   it('is what its planner tells, and what this entry sent since', async () => {
     const views = await viewsAfter([{known: {view: VIEW, ageMs: 0}, ...OPEN}]);
-    const room = views.roomOf(ranks[0]!, ENGINE, PAUSE_MS, performance.now());
+    const room = views.capacityOf(
+      ranks[0]!,
+      ENGINE,
+      PAUSE_MS,
+      performance.now(),
+    );
     expect(room).toMatchObject({requests: 72, imbalance: 1.2});
     expect(room.most).toBeGreaterThan(160);
     views.close();
@@ -95,11 +100,16 @@
   // for its 168 places.
   it('has a limit where a group has just opened and nothing is told', async () => {
     const views = await viewsAfter([{seen: {isOpen: false, ageMs: 0}}, OPEN]);
-    const room = views.roomOf(ranks[0]!, ENGINE, PAUSE_MS, performance.now());
+    const room = views.capacityOf(
+      ranks[0]!,
+      ENGINE,
+      PAUSE_MS,
+      performance.now(),
+    );
     expect(room.requests).toBe((RANKS / 4) * ENTRIES);
     expect(room.most).toBeLessThan(120);
     const later = performance.now() + 3_000;
-    const settled = views.roomOf(ranks[0]!, ENGINE, PAUSE_MS, later);
+    const settled = views.capacityOf(ranks[0]!, ENGINE, PAUSE_MS, later);
     expect(settled.most).toBeGreaterThan(150);
     views.close();
   });
--- a/src/forwarding/group-views.ts
+++ b/src/forwarding/group-views.ts
@@ -11,43 +11,43 @@
 import * as random from '../random';
 import type {EngineFigures} from '../routes/types';
 import type {RpcClient} from '../rpc/client';
-import * as limits from './group-limit';
+import * as limits from './group-request-limit';
 import type {Target} from './types';
 
 /** Pause between questions, in milliseconds; a sidecar waits for news. */
-const PAUSE_MS = 20;
+const POLL_PAUSE_MS = 20;
 /** And after a question that brought nothing. */
-const FAILED_PAUSE_MS = 150;
+const FAILED_POLL_PAUSE_MS = 150;
 /** Time that a sidecar waits for news: longer than planners are silent. */
-const WAIT_MS = 400;
+const LONG_POLL_MS = 400;
 /** Longest wait for an answer beyond that, in milliseconds. */
-const ANSWER_MS = 120;
+const RESPONSE_MARGIN_MS = 120;
 /** Views older than this tell nothing, in milliseconds. */
-const STALE_MS = 900;
+const MAX_VIEW_AGE_MS = 900;
 const NO_RANK = -1;
 /** Entries that may send to a group beside this one, at most. */
-const MOST_ENTRIES = 16;
+const MAX_ENTRIES = 16;
 
-interface HeldView {
+interface ReceivedView {
   readonly view: GroupView;
   /** Monotonic time at which the view was true. */
   readonly at: number;
   /** This entry's requests in flight when it heard, by target's lifetime. */
-  readonly ownThen: ReadonlyMap<string, number>;
+  readonly ownInFlight: ReadonlyMap<string, number>;
 }
 
 /**
  * Imbalance of a group that has just formed: its experts are dealt out in turn.
  * Taken for less, it would be sent more than it can begin.
  */
-const FORMED_IMBALANCE = 3.5;
+const NEW_GROUP_IMBALANCE = 3.5;
 /** Time in which a planner has told of a group that formed, in milliseconds. */
-const FORMED_MS = 2_000;
+const NEW_GROUP_MS = 2_000;
 /** Of a group of which nothing is told for another reason. */
-const UNTOLD_IMBALANCE = 1.5;
+const DEFAULT_IMBALANCE = 1.5;
 
 /** What decides whether a group takes another request. */
-export interface GroupRoom {
+export interface GroupCapacity {
   /** Requests that it may work on at once. */
   readonly most: number;
   /** Those that it is believed to have. */
@@ -60,7 +60,7 @@
 }
 
 /** What following groups needs. */
-export interface ViewsContext {
+export interface GroupViewsContext {
   readonly rpc: RpcClient;
   readonly reach: Reach;
   readonly hall: string;
@@ -69,9 +69,9 @@
   /** Targets that are ranks of groups; the same list until one changes. */
   ranks(): readonly Target[];
   /** Entries that are known, this one among them. */
-  entries(): number;
+  knownEntryCount(): number;
   /** A sidecar has told whether a rank's group was open at a time. */
-  onSeen(target: Target, isOpen: boolean, at: number): void;
+  onGroupState(target: Target, isOpen: boolean, at: number): void;
   /** This entry's requests in flight to a lifetime of a target. */
   inFlight(lifetime: string): number;
 }
@@ -79,34 +79,34 @@
 export class GroupViews {
   /** Something new was told of a group. */
   readonly updates = new rxjs.Subject<void>();
-  private readonly held = new Map<string, HeldView>();
+  private readonly views = new Map<string, ReceivedView>();
   /** When groups were seen to open, by their keys; closed ones aren't here. */
-  private readonly openSince = new Map<string, number>();
+  private readonly openedAt = new Map<string, number>();
   /** The ranks by group, as long as they are the same. */
-  private grouped: {
+  private rankIndex: {
     readonly ranks: readonly Target[] | undefined;
     readonly byKey: ReadonlyMap<string, readonly Target[]>;
   } = {ranks: undefined, byKey: new Map()};
   /** Groups that are being followed. */
-  private readonly followed = new Set<string>();
+  private readonly polledGroups = new Set<string>();
   private isClosed = false;
 
-  constructor(private readonly context: ViewsContext) {}
+  constructor(private readonly context: GroupViewsContext) {}
 
   /** Follows the groups of the targets that are known by now. */
-  update(): void {
+  pollNewGroups(): void {
     for (const target of this.context.ranks()) {
       const key = keyOf(target);
-      if (!this.followed.has(key) && !this.isClosed) {
-        this.followed.add(key);
-        void this.follow(key);
+      if (!this.polledGroups.has(key) && !this.isClosed) {
+        this.polledGroups.add(key);
+        void this.pollGroup(key);
       }
     }
   }
 
   /** This instance was suspended: what was told tells nothing any more. */
-  forget(): void {
-    this.held.clear();
+  clear(): void {
+    this.views.clear();
   }
 
   close(): void {
@@ -116,12 +116,12 @@
 
   /** What was told of a target's group; undefined: nothing lately. */
   viewOf(target: Target, now: number): GroupView | undefined {
-    return this.fresh(target, now)?.view;
+    return this.freshView(target, now)?.view;
   }
 
   /** How many times as long as it should a target's work takes. */
   slownessOf(target: Target, now: number): number {
-    const view = this.fresh(target, now)?.view;
+    const view = this.freshView(target, now)?.view;
     return view?.slow.find(one => one.rank === target.rank)?.slowness ?? 1;
   }
 
@@ -130,41 +130,41 @@
    * entry has sent and got answered since. Undefined where nothing was told.
    */
   requestsAt(target: Target, now: number): number | undefined {
-    const held = this.fresh(target, now);
+    const held = this.freshView(target, now);
     const told = held?.view.requests[target.rank ?? NO_RANK];
     if (held === undefined || told === undefined) {
       return undefined;
     }
-    const ownThen = held.ownThen.get(target.lifetime) ?? 0;
+    const ownThen = held.ownInFlight.get(target.lifetime) ?? 0;
     return Math.max(told + this.context.inFlight(target.lifetime) - ownThen, 0);
   }
 
   /** What a target's group may take. */
-  roomOf(
+  capacityOf(
     target: Target,
     engine: EngineFigures,
     pauseMs: number,
     now: number,
-  ): GroupRoom {
-    const held = this.fresh(target, now);
+  ): GroupCapacity {
+    const held = this.freshView(target, now);
     if (held === undefined) {
-      return this.untoldRoom(target, engine, pauseMs, now);
+      return this.estimateCapacity(target, engine, pauseMs, now);
     }
     const {view} = held;
     const told = sumOf(view.requests);
     const slowness = Math.max(1, ...view.slow.map(one => one.slowness));
     const {imbalance} = view;
     const pace = {size: view.requests.length, imbalance, slowness};
-    const own = sumOf([...this.ownOf(keyOf(target)).values()]);
-    const ownThen = sumOf([...held.ownThen.values()]);
+    const own = sumOf([...this.ownInFlightOf(keyOf(target)).values()]);
+    const ownThen = sumOf([...held.ownInFlight.values()]);
     // Other entries change with the traffic as this one does.
     const scale = Math.min(
       Math.max(told / Math.max(ownThen, 1), 1),
-      MOST_ENTRIES,
+      MAX_ENTRIES,
     );
     const requests = told + (own - ownThen) * scale;
     return {
-      most: limits.mostRequests(engine, pace, pauseMs),
+      most: limits.maxRequests(engine, pace, pauseMs),
       requests,
       imbalance,
       slowness,
@@ -176,49 +176,53 @@
    * Room where nothing was told lately, as in a group that has just opened:
    * other entries are taken to send as many requests as this one.
    */
-  private untoldRoom(
+  private estimateCapacity(
     target: Target,
     engine: EngineFigures,
     pauseMs: number,
     now: number,
-  ): GroupRoom {
+  ): GroupCapacity {
     const key = keyOf(target);
-    const own = [...this.ownOf(key).values()];
-    const openMs = now - (this.openSince.get(key) ?? -Infinity);
-    const imbalance = openMs < FORMED_MS ? FORMED_IMBALANCE : UNTOLD_IMBALANCE;
+    const own = [...this.ownInFlightOf(key).values()];
+    const openMs = now - (this.openedAt.get(key) ?? -Infinity);
+    const imbalance =
+      openMs < NEW_GROUP_MS ? NEW_GROUP_IMBALANCE : DEFAULT_IMBALANCE;
     const slowness = 1;
     const pace = {size: own.length, imbalance, slowness};
     return {
       imbalance,
       slowness,
-      most: limits.mostRequests(engine, pace, pauseMs),
-      requests: sumOf(own) * Math.min(this.context.entries(), MOST_ENTRIES),
+      most: limits.maxRequests(engine, pace, pauseMs),
+      requests:
+        sumOf(own) * Math.min(this.context.knownEntryCount(), MAX_ENTRIES),
       ageMs: Infinity,
     };
   }
 
-  private fresh(target: Target, now: number): HeldView | undefined {
-    const held = this.held.get(keyOf(target));
-    return held !== undefined && now - held.at < STALE_MS ? held : undefined;
+  private freshView(target: Target, now: number): ReceivedView | undefined {
+    const held = this.views.get(keyOf(target));
+    return held !== undefined && now - held.at < MAX_VIEW_AGE_MS
+      ? held
+      : undefined;
   }
 
   /** Asks for news of a group as long as it has ranks. */
-  private async follow(key: string): Promise<void> {
+  private async pollGroup(key: string): Promise<void> {
     while (!this.isClosed) {
       const ranks = this.ranksOf(key);
       if (ranks.length === 0) {
         break;
       }
-      const isTold = await this.ask(key, ranks);
-      await pause(isTold ? PAUSE_MS : random.jitter(FAILED_PAUSE_MS));
+      const isTold = await this.poll(key, ranks);
+      await pause(isTold ? POLL_PAUSE_MS : random.jitter(FAILED_POLL_PAUSE_MS));
     }
-    this.followed.delete(key);
-    this.held.delete(key);
-    this.openSince.delete(key);
+    this.polledGroups.delete(key);
+    this.views.delete(key);
+    this.openedAt.delete(key);
   }
 
   /** False where nothing was told. */
-  private async ask(key: string, ranks: readonly Target[]): Promise<boolean> {
+  private async poll(key: string, ranks: readonly Target[]): Promise<boolean> {
     const {rpc, hall, rpcPort} = this.context;
     const near = ranks.filter(rank => rank.hall === hall);
     const rank = random.pick(near.length > 0 ? near : ranks);
@@ -226,8 +230,8 @@
     const answer = await rpc.call(
       `${host}:${rpcPort}`,
       experts.view,
-      {waitMs: WAIT_MS},
-      WAIT_MS + ANSWER_MS,
+      {waitMs: LONG_POLL_MS},
+      LONG_POLL_MS + RESPONSE_MARGIN_MS,
     );
     if (!answer.ok) {
       return false;
@@ -236,26 +240,30 @@
     const {known, seen} = answer.value;
     if (seen !== undefined) {
       const seenAt = performance.now() - seen.ageMs;
-      this.noteOpening(key, seen.isOpen, seenAt);
-      this.context.onSeen(rank, seen.isOpen, seenAt);
+      this.noteGroupState(key, seen.isOpen, seenAt);
+      this.context.onGroupState(rank, seen.isOpen, seenAt);
     }
     const at = known && performance.now() - known.ageMs;
-    if (at !== undefined && at > (this.held.get(key)?.at ?? 0)) {
-      this.held.set(key, {view: known!.view, at, ownThen: this.ownOf(key)});
+    if (at !== undefined && at > (this.views.get(key)?.at ?? 0)) {
+      this.views.set(key, {
+        view: known!.view,
+        at,
+        ownInFlight: this.ownInFlightOf(key),
+      });
       this.updates.next();
     }
     return known !== undefined || seen !== undefined;
   }
 
-  private noteOpening(key: string, isOpen: boolean, at: number): void {
+  private noteGroupState(key: string, isOpen: boolean, at: number): void {
     if (!isOpen) {
-      this.openSince.delete(key);
-    } else if (!this.openSince.has(key)) {
-      this.openSince.set(key, at);
+      this.openedAt.delete(key);
+    } else if (!this.openedAt.has(key)) {
+      this.openedAt.set(key, at);
     }
   }
 
-  private ownOf(key: string): Map<string, number> {
+  private ownInFlightOf(key: string): Map<string, number> {
     return new Map(
       this.ranksOf(key).map(rank => [
         rank.lifetime,
@@ -266,10 +274,10 @@
 
   private ranksOf(key: string): readonly Target[] {
     const ranks = this.context.ranks();
-    if (ranks !== this.grouped.ranks) {
-      this.grouped = {ranks, byKey: grouping.groupBy(ranks, keyOf)};
+    if (ranks !== this.rankIndex.ranks) {
+      this.rankIndex = {ranks, byKey: grouping.groupBy(ranks, keyOf)};
     }
-    return this.grouped.byKey.get(key) ?? [];
+    return this.rankIndex.byKey.get(key) ?? [];
   }
 }
 
--- a/src/forwarding/choose-failing.test.ts
+++ b/src/forwarding/load-balancer-failing.test.ts
@@ -1,5 +1,5 @@
 import * as random from '../random';
-import {TargetLoads, TargetNews} from './choose';
+import {LoadBalancer, LoadReports} from './load-balancer';
 import type {Target} from './types';
 
 const ENTRIES = 14;
@@ -32,10 +32,10 @@
 }));
 
 /** What an entry was told, and what it did since. */
-class LateNews implements TargetNews {
+class LateNews implements LoadReports {
   private told: readonly number[] = ranks.map(() => 0);
   private readonly ownThen = new Map<string, number>();
-  loads: TargetLoads | undefined;
+  loads: LoadBalancer | undefined;
 
   tell(told: readonly number[]): void {
     this.told = [...told];
@@ -58,7 +58,7 @@
 
 interface End {
   readonly at: number;
-  readonly loads: TargetLoads;
+  readonly loads: LoadBalancer;
   readonly target: Target;
 }
 
@@ -66,7 +66,7 @@
 function play(): {first: number; all: number} {
   const entries = Array.from({length: ENTRIES}, (_, at) => {
     const news = new LateNews();
-    const loads = new TargetLoads(`hall-${at % GROUPS}`, news);
+    const loads = new LoadBalancer(`hall-${at % GROUPS}`, news);
     news.loads = loads;
     return {news, loads};
   });
@@ -129,7 +129,7 @@
     const targets = ranks.slice(0, 3).map(one => ({...one, group: undefined}));
     const entries = Array.from(
       {length: ENTRIES},
-      () => new TargetLoads('elsewhere'),
+      () => new LoadBalancer('elsewhere'),
     );
     const got = targets.map(() => 0);
     const sent = 1_500;
--- a/src/forwarding/choose.test.ts
+++ b/src/forwarding/load-balancer.test.ts
@@ -1,5 +1,5 @@
 import * as random from '../random';
-import {TargetLoads, TargetNews} from './choose';
+import {LoadBalancer, LoadReports} from './load-balancer';
 import type {Target} from './types';
 
 const ENTRIES = 35;
@@ -27,7 +27,7 @@
 }));
 
 /** What an entry was told, and what it did since. */
-class LateNews implements TargetNews {
+class LateNews implements LoadReports {
   private told = new Int32Array(RANKS);
   private readonly ownThen = new Map<string, number>();
   inFlight: (lifetime: string) => number = () => 0;
@@ -51,7 +51,7 @@
 
 interface End {
   readonly at: number;
-  readonly loads: TargetLoads;
+  readonly loads: LoadBalancer;
   readonly rank: number;
 }
 
@@ -59,7 +59,7 @@
 function playEntries(): number {
   const entries = Array.from({length: ENTRIES}, (_, at) => {
     const news = new LateNews();
-    const loads = new TargetLoads(`hall-${at % 5}`, news);
+    const loads = new LoadBalancer(`hall-${at % 5}`, news);
     news.inFlight = lifetime => loads.inFlight(lifetime);
     return {news, loads};
   });
--- a/src/forwarding/choose.ts
+++ b/src/forwarding/load-balancer.ts
@@ -7,50 +7,50 @@
 import type {Target} from './types';
 
 /** Weight of the newest outcome in a target's share of failures. */
-const NEW_SHARE = 0.5;
+const TARGET_OUTCOME_WEIGHT = 0.5;
 /** And in the share of all targets of its service. */
-const NEW_USUAL_SHARE = 0.02;
+const SERVICE_OUTCOME_WEIGHT = 0.02;
 /**
  * A share of failures beyond the service's usual one counts like this many
  * requests in flight: what fails at once always looks idle.
  */
 const FAILURE_WEIGHT = 24;
 /** A share of failures is halved in this time, in milliseconds. */
-const FORGET_MS = 8_000;
+const FAILURE_HALF_LIFE_MS = 8_000;
 /**
  * Places that a rank's slowness costs: each request there lengthens the passes
  * of all ranks by its slowness.
  */
-const SLOW_WEIGHT = 8;
+const SLOWNESS_WEIGHT = 8;
 /**
  * Places for which a permit makes up, to send to a target that has named a
  * limit: unused it is lost, and with it the little that the target takes.
  */
 const PERMIT_BONUS = 2;
 /** Places that another hall costs: a hop is little beside a request. */
-const HALL_WEIGHT = 0.4;
+const OTHER_HALL_PENALTY = 0.4;
 
 /**
  * Requests that this entry sends to a target at most, in its slots. A target
  * queues more, but there they wait longer than callers do.
  */
-const MOST_PER_SLOT = 1.5;
+const MAX_REQUESTS_PER_SLOT = 1.5;
 
-interface Record_ {
+interface TargetRecord {
   inFlight: number;
-  failing: number;
-  at: number;
+  failureShare: number;
+  updatedAt: number;
 }
 
 /** What others tell of a target. */
-export interface TargetNews {
+export interface LoadReports {
   /** How many times as long as it should its work takes. */
   slownessOf(target: Target, now: number): number;
   /** Requests of all entries there; undefined: not told. */
   requestsAt(target: Target, now: number): number | undefined;
 }
 
-const NO_NEWS: TargetNews = {
+const NO_REPORTS: LoadReports = {
   slownessOf: () => 1,
   requestsAt: () => undefined,
 };
@@ -60,16 +60,16 @@
  * the same, some tenths of a second late, and whoever compares many finds the
  * same few idle ones as all others.
  */
-const COMPARED = 4;
+const SAMPLE_SIZE = 4;
 
-export class TargetLoads {
-  private readonly records = new Map<string, Record_>();
+export class LoadBalancer {
+  private readonly records = new Map<string, TargetRecord>();
   /** Share of the requests of a service that fail, whoever serves them. */
-  private readonly usual = new Map<string, number>();
+  private readonly serviceFailureShares = new Map<string, number>();
 
   constructor(
     private readonly hall: string,
-    private readonly news: TargetNews = NO_NEWS,
+    private readonly reports: LoadReports = NO_REPORTS,
   ) {}
 
   /** Notes that a request goes to a lifetime of a target. */
@@ -81,11 +81,14 @@
   end(target: Target, harm: number, now: number): void {
     const record = this.recordOf(target.lifetime);
     record.inFlight -= 1;
-    const failing = decayed(record, now);
-    record.failing = failing + NEW_SHARE * (harm - failing);
-    record.at = now;
-    const usual = this.usual.get(target.service) ?? 0;
-    this.usual.set(target.service, usual + NEW_USUAL_SHARE * (harm - usual));
+    const failing = decayedFailureShare(record, now);
+    record.failureShare = failing + TARGET_OUTCOME_WEIGHT * (harm - failing);
+    record.updatedAt = now;
+    const usual = this.serviceFailureShares.get(target.service) ?? 0;
+    this.serviceFailureShares.set(
+      target.service,
+      usual + SERVICE_OUTCOME_WEIGHT * (harm - usual),
+    );
   }
 
   inFlight(lifetime: string): number {
@@ -102,7 +105,7 @@
     let bestScore = Infinity;
     const free = targets.filter(target => this.hasRoom(target));
     const freeLent = lent.filter(target => this.hasRoom(target));
-    for (const target of [...freeLent, ...this.compared(free, now)]) {
+    for (const target of [...freeLent, ...this.candidatesOf(free, now)]) {
       const bonus = lent.includes(target) ? PERMIT_BONUS : 0;
       const score = this.score(target, now) - bonus + random.unit() * TIE_BREAK;
       if (score < bestScore) {
@@ -114,7 +117,7 @@
   }
 
   private hasRoom({lifetime, slots}: Target): boolean {
-    return this.inFlight(lifetime) < slots * MOST_PER_SLOT;
+    return this.inFlight(lifetime) < slots * MAX_REQUESTS_PER_SLOT;
   }
 
   /** Forgets lifetimes that are gone and have nothing in flight. */
@@ -127,28 +130,32 @@
   }
 
   /** All targets, or some drawn at random where news of them is shared. */
-  private compared(targets: readonly Target[], now: number): readonly Target[] {
+  private candidatesOf(
+    targets: readonly Target[],
+    now: number,
+  ): readonly Target[] {
     const [first] = targets;
     const isShared =
-      first !== undefined && this.news.requestsAt(first, now) !== undefined;
-    return isShared ? random.sample(targets, COMPARED) : targets;
+      first !== undefined && this.reports.requestsAt(first, now) !== undefined;
+    return isShared ? random.sample(targets, SAMPLE_SIZE) : targets;
   }
 
   private score(target: Target, now: number): number {
     const record = this.records.get(target.lifetime);
-    const inFlight = this.news.requestsAt(target, now) ?? record?.inFlight ?? 0;
-    const usual = this.usual.get(target.service) ?? 0;
-    const share = record === undefined ? 0 : decayed(record, now);
+    const inFlight =
+      this.reports.requestsAt(target, now) ?? record?.inFlight ?? 0;
+    const usual = this.serviceFailureShares.get(target.service) ?? 0;
+    const share = record === undefined ? 0 : decayedFailureShare(record, now);
     const failing = Math.max(share - usual, 0);
-    const hop = target.hall === this.hall ? 0 : HALL_WEIGHT;
-    const slow = (this.news.slownessOf(target, now) - 1) * SLOW_WEIGHT;
+    const hop = target.hall === this.hall ? 0 : OTHER_HALL_PENALTY;
+    const slow = (this.reports.slownessOf(target, now) - 1) * SLOWNESS_WEIGHT;
     return inFlight + hop + slow + failing * FAILURE_WEIGHT;
   }
 
-  private recordOf(lifetime: string): Record_ {
+  private recordOf(lifetime: string): TargetRecord {
     let record = this.records.get(lifetime);
     if (record === undefined) {
-      record = {inFlight: 0, failing: 0, at: 0};
+      record = {inFlight: 0, failureShare: 0, updatedAt: 0};
       this.records.set(lifetime, record);
     }
     return record;
@@ -158,6 +165,9 @@
 /** Less than any real difference between scores. */
 const TIE_BREAK = 0.1;
 
-function decayed(record: Record_, now: number): number {
-  return record.failing * 0.5 ** ((now - record.at) / FORGET_MS);
+function decayedFailureShare(record: TargetRecord, now: number): number {
+  return (
+    record.failureShare *
+    0.5 ** ((now - record.updatedAt) / FAILURE_HALF_LIFE_MS)
+  );
 }
--- a/src/forwarding/outcome-observer.ts
+++ b/src/forwarding/outcome-observer.ts
@@ -19,10 +19,10 @@
   constructor(private readonly context: ObserverContext) {}
 
   /** Notes how a send ended; `said` is the head of its answer. */
-  note(
+  noteOutcome(
     target: types.Target,
     outcome: exchanges.Outcome,
-    said: types.AnswerHead | undefined,
+    said: types.ResponseHead | undefined,
     sentAt: number,
   ): void {
     if (outcome.kind === 'not-run' && outcome.status === outcomes.MISDIRECTED) {
@@ -30,15 +30,19 @@
       this.context.targets.drop(target);
     }
     this.noteGroup(target, outcome, said);
-    this.noteRest(target, outcome, sentAt);
+    this.noteCooldownEnd(target, outcome, sentAt);
   }
 
   /** Holds what a target asks for besides, as soon as it has said so. */
-  hear(target: types.Target, head: types.AnswerHead, sentAt: number): void {
+  noteHead(
+    target: types.Target,
+    head: types.ResponseHead,
+    sentAt: number,
+  ): void {
     const {targets, metrics, log} = this.context;
     const {id, service} = target;
-    const {rest} = head;
-    this.hearLimit(target, head, sentAt);
+    const {retryAfter: rest} = head;
+    this.noteRateLimit(target, head, sentAt);
     if (head.isLeaving) {
       targets.leave(target);
     }
@@ -46,19 +50,19 @@
       return;
     }
     metrics.count('rests_asked_total', {service});
-    if (targets.askRest(target, rest.ms, performance.now())) {
+    if (targets.startCooldown(target, rest.ms, performance.now())) {
       log.event('targetResting', {target: id, service, restMs: rest.ms});
     }
   }
 
-  private hearLimit(
+  private noteRateLimit(
     target: types.Target,
-    {limit}: types.AnswerHead,
+    {rateLimit: limit}: types.ResponseHead,
     sentAt: number,
   ): void {
     const {targets, log, metrics} = this.context;
     const now = performance.now();
-    const change = limit && targets.hearLimit(target, limit, sentAt, now);
+    const change = limit && targets.noteRateLimit(target, limit, sentAt, now);
     if (change !== undefined) {
       metrics.count('limits_heard_total', {service: target.service, change});
       log.event(change === 'ended' ? 'limitEnded' : 'targetLimited', {
@@ -71,7 +75,7 @@
   }
 
   /** A target that takes a request after its rest is used as before. */
-  private noteRest(
+  private noteCooldownEnd(
     target: types.Target,
     outcome: exchanges.Outcome,
     sentAt: number,
@@ -80,7 +84,7 @@
     const {id, service} = target;
     const hasTaken =
       outcome.kind === 'streaming' || outcome.kind === 'answered';
-    if (hasTaken && targets.noteTaken(target, sentAt, performance.now())) {
+    if (hasTaken && targets.noteAccepted(target, sentAt, performance.now())) {
       log.event('targetRested', {target: id, service});
     }
   }
@@ -92,7 +96,7 @@
   private noteGroup(
     target: types.Target,
     outcome: exchanges.Outcome,
-    said: types.AnswerHead | undefined,
+    said: types.ResponseHead | undefined,
   ): void {
     const {gate, log} = this.context;
     const {group, service} = target;
@@ -102,14 +106,14 @@
     const now = performance.now();
     if (outcome.kind === 'streaming' || outcome.kind === 'answered') {
       const closedMs = Math.round(gate.closedMs(group, now));
-      gate.noteTaken(group, now);
+      gate.noteAccepted(group, now);
       if (closedMs > 0) {
         log.event('groupOpen', {service, group, closedMs});
       }
     } else if (
       outcome.kind === 'not-run' &&
       outcome.status === outcomes.UNAVAILABLE &&
-      said?.rest.kind !== 'rest' &&
+      said?.retryAfter.kind !== 'rest' &&
       gate.noteRefused(group, target.id, now)
     ) {
       log.event('groupClosed', {service, group, target: target.id});
--- a/src/forwarding/outcomes.ts
+++ b/src/forwarding/outcomes.ts
@@ -1,6 +1,6 @@
 /** What the end of a send says: of the target, and for the log. Pure. */
 import type * as exchanges from './exchange';
-import type {AnswerHead, Target} from './types';
+import type {ResponseHead, Target} from './types';
 
 /** The status of a target that another was meant. Source: RFC 9110. */
 export const MISDIRECTED = 421;
@@ -11,13 +11,13 @@
  * What a refusal counts beside a failure: who refuses is full, or the first
  * rank of a group that closes, and is as good as the others once it opens.
  */
-const REFUSAL_HARM = 0.125;
+const REFUSAL_FAILURE_SCORE = 0.125;
 
 /** How the last send to each target went, by its lifetime. */
-export type Tried = Map<string, exchanges.Outcome['kind']>;
+export type TriedTargets = Map<string, exchanges.Outcome['kind']>;
 
 /** How much the outcome speaks against the target, 0 to 1. */
-export function harmOf(outcome: exchanges.Outcome): number {
+export function failureScoreOf(outcome: exchanges.Outcome): number {
   switch (outcome.kind) {
     case 'answered':
       return outcome.head.status >= FIRST_SERVER_ERROR ? 1 : 0;
@@ -25,7 +25,7 @@
     case 'cancelled':
       return 0;
     case 'not-run':
-      return REFUSAL_HARM;
+      return REFUSAL_FAILURE_SCORE;
     case 'unknown':
     case 'timed-out':
       return 1;
@@ -47,7 +47,7 @@
 }
 
 /** True where another run may do better than this one did. */
-export function hasRunBadly(outcome: exchanges.Outcome): boolean {
+export function hasFailed(outcome: exchanges.Outcome): boolean {
   return (
     outcome.kind === 'unknown' ||
     (outcome.kind === 'answered' && outcome.head.status >= FIRST_SERVER_ERROR)
@@ -55,7 +55,7 @@
 }
 
 /** True where the target itself has said something. */
-export function hasAnswered(outcome: exchanges.Outcome): boolean {
+export function hasResponded(outcome: exchanges.Outcome): boolean {
   const isRefusal = outcome.kind === 'not-run' && outcome.status !== undefined;
   return (
     isRefusal || outcome.kind === 'answered' || outcome.kind === 'streaming'
@@ -63,7 +63,7 @@
 }
 
 /** Fields of a log line. */
-export function detailsOf(outcome: exchanges.Outcome): object {
+export function outcomeFields(outcome: exchanges.Outcome): object {
   switch (outcome.kind) {
     case 'answered':
       return {
@@ -85,8 +85,8 @@
 }
 
 /** Fields of a log line: what the target asked for besides. */
-export function askedBy(head: AnswerHead | undefined): object {
-  const {rest, limit} = head ?? {};
+export function headFields(head: ResponseHead | undefined): object {
+  const {retryAfter: rest, rateLimit: limit} = head ?? {};
   return {
     ...(rest?.kind === 'rest' ? {restMs: rest.ms} : {}),
     ...(rest?.kind === 'unread' ? {unreadRest: rest.text} : {}),
--- a/src/forwarding/plain-relay.ts
+++ b/src/forwarding/plain-relay.ts
@@ -1,16 +1,21 @@
 /** Requests whose answer is read whole before it is passed on. */
 import type {Call} from './call';
 import type * as exchanges from './exchange';
-import type {Tried} from './outcomes';
+import type {TriedTargets} from './outcomes';
 import {Relay} from './relay';
 import type {RelayedRequest} from './relayed-request';
 
 export class PlainRelay extends Relay {
   async relay(call: Call, request: RelayedRequest): Promise<void> {
-    const tried: Tried = new Map();
+    const tried: TriedTargets = new Map();
     let last: exchanges.Outcome | undefined;
     for (;;) {
-      const found = await this.finder.find(call, request, tried, call.isLater);
+      const found = await this.finder.find(
+        call,
+        request,
+        tried,
+        call.isLikelyRetry,
+      );
       if (!found.ok) {
         this.refuseUnsent(call, found.error, last);
         return;
@@ -19,11 +24,11 @@
       const outcome = await this.send(call, request, target);
       this.noteTried(tried, target, outcome);
       last = outcome;
-      if (call.hasLeft) {
+      if (call.isCallerGone) {
         call.end('caller-left');
         return;
       }
-      if (!this.mayTryNext(call, request, target, outcome)) {
+      if (!this.mayRetry(call, request, target, outcome)) {
         this.finish(call, request, target, outcome);
         return;
       }
--- a/src/forwarding/refuser.ts
+++ b/src/forwarding/refusal-builder.ts
@@ -3,32 +3,32 @@
 import type {Metrics} from '../observability/metrics';
 import type {CurrentConfiguration} from '../routes/current';
 import type {Call} from './call';
-import * as comeBack from './come-back';
+import * as comeBack from './retry-delays';
 import type {GroupGate} from './group-gate';
-import type {GroupRoom} from './group-views';
-import {ReturnLines} from './return-lines';
-import type {ServiceHold, TargetList} from './target-list';
+import type {GroupCapacity} from './group-views';
+import {RetrySchedule} from './retry-schedule';
+import type {Unavailability, TargetList} from './target-list';
 import type * as types from './types';
 
 /** What is looked at for it. */
-export interface RefuserContext {
+export interface RefusalContext {
   readonly configuration: CurrentConfiguration;
   readonly targets: TargetList;
   readonly gate: GroupGate;
   /** Entries of the site that are known, this one among them. */
-  knownEntries(): number;
+  knownEntryCount(): number;
   readonly log: Log;
   readonly metrics: Metrics;
 }
 
 /** Requests a second at which callers come back at least. */
-const LEAST_PER_SECOND = 0.1;
+const MIN_RETRIES_PER_SECOND = 0.1;
 const SECOND_MS = 1_000;
 
-export class Refuser {
-  private readonly returns = new ReturnLines();
+export class RefusalBuilder {
+  private readonly retrySchedule = new RetrySchedule();
 
-  constructor(private readonly context: RefuserContext) {}
+  constructor(private readonly context: RefusalContext) {}
 
   /** Asks the caller to come back when the group may have formed. */
   closedGroup(
@@ -39,19 +39,19 @@
   ): types.Refusal {
     const {configuration, gate} = this.context;
     const found = configuration.table?.findService(service);
-    const retryMs = comeBack.afterClosing(
+    const retryMs = comeBack.afterGroupClosed(
       {
         closedMs: gate.closedMs(group, now),
         formMs: found?.engine?.experts?.formMs ?? 0,
         hasBeenOpen: gate.hasBeenOpen(group),
       },
-      call.leftMs,
+      call.timeLeftMs,
     );
     return {kind: 'not-run', why: 'group-closed', retryMs};
   }
 
   /** The request has crashed the targets that ran it. */
-  convicted(call: Call, service: string, digest: string): types.Refusal {
+  crashesTargets(call: Call, service: string, digest: string): types.Refusal {
     this.context.metrics.count('crash_refusals_total', {service});
     this.context.log.event('requestRefused', {
       request: call.head?.id,
@@ -59,7 +59,7 @@
       service,
       digest,
     });
-    const retryMs = comeBack.afterConviction(call.callerLeftMs);
+    const retryMs = comeBack.afterCrashes(call.callerTimeLeftMs);
     return {kind: 'not-run', why: 'crashes-targets', retryMs};
   }
 
@@ -67,84 +67,96 @@
   overloaded(
     call: Call,
     service: string,
-    room: GroupRoom | undefined,
+    room: GroupCapacity | undefined,
   ): types.Refusal {
     this.context.metrics.count('overloads_total', {service});
     this.context.log.event('requestRefused', {
       request: call.head?.id,
       kind: 'overloaded',
       service,
-      isLater: call.isLater,
+      isLater: call.isLikelyRetry,
       ...room,
     });
-    const retryMs = comeBack.afterOverload(call.leftMs);
+    const retryMs = comeBack.afterOverload(call.timeLeftMs);
     return {kind: 'not-run', why: 'overloaded', retryMs};
   }
 
   /** The last target turned the request away; others may take the next. */
-  turnedAway(call: Call, service: string): types.Refusal {
-    const hold = this.context.targets.holdOf(service, performance.now());
+  targetFull(call: Call, service: string): types.Refusal {
+    const hold = this.context.targets.unavailabilityOf(
+      service,
+      performance.now(),
+    );
     return hold === undefined
       ? {
           kind: 'not-run',
           why: 'target-full',
-          retryMs: comeBack.afterFull(call.leftMs),
+          retryMs: comeBack.afterFull(call.timeLeftMs),
         }
-      : this.held(call, service, hold);
+      : this.unavailable(call, service, hold);
   }
 
   /** Why there is no target to choose. */
-  noneToChoose(
+  noneAvailable(
     call: Call,
     service: string,
-    hold: ServiceHold | undefined,
+    hold: Unavailability | undefined,
   ): types.Refusal {
     return hold === undefined
       ? this.noTarget(service)
-      : this.held(call, service, hold);
+      : this.unavailable(call, service, hold);
   }
 
   /** All targets are held back for a while: the caller is told for how long. */
-  private held(call: Call, service: string, hold: ServiceHold): types.Refusal {
-    return hold.why === 'limited'
-      ? this.limited(call, service, hold)
-      : this.resting(call, service, hold);
+  private unavailable(
+    call: Call,
+    service: string,
+    hold: Unavailability,
+  ): types.Refusal {
+    return hold.reason === 'limited'
+      ? this.rateLimited(call, service, hold)
+      : this.coolingDown(call, service, hold);
   }
 
-  private resting(
+  private coolingDown(
     call: Call,
     service: string,
-    hold: ServiceHold,
+    hold: Unavailability,
   ): types.Refusal {
-    const retryMs = comeBack.afterRest(hold.ms, call.callerLeftMs);
+    const retryMs = comeBack.afterCooldown(hold.waitMs, call.callerTimeLeftMs);
     this.context.metrics.count('rest_refusals_total', {service});
     this.context.log.event('requestRefused', {
       request: call.head?.id,
       kind: 'targets-resting',
       service,
-      restMs: Math.round(hold.ms),
+      restMs: Math.round(hold.waitMs),
       retryMs: Math.round(retryMs),
     });
     return {kind: 'not-run', why: 'targets-resting', retryMs};
   }
 
   /** They come back at the pace at which the targets take requests. */
-  private limited(
+  private rateLimited(
     call: Call,
     service: string,
-    hold: ServiceHold,
+    hold: Unavailability,
   ): types.Refusal {
-    const perEntry = hold.perSecond / this.context.knownEntries();
-    const spacingMs = SECOND_MS / Math.max(perEntry, LEAST_PER_SECOND);
+    const perEntry = hold.limitPerSecond / this.context.knownEntryCount();
+    const spacingMs = SECOND_MS / Math.max(perEntry, MIN_RETRIES_PER_SECOND);
     const now = performance.now();
-    const lineMs = this.returns.next(service, hold.ms, spacingMs, now);
-    const retryMs = comeBack.afterLimit(lineMs, call.callerLeftMs);
+    const lineMs = this.retrySchedule.nextDelayMs(
+      service,
+      hold.waitMs,
+      spacingMs,
+      now,
+    );
+    const retryMs = comeBack.afterLimit(lineMs, call.callerTimeLeftMs);
     this.context.metrics.count('limit_refusals_total', {service});
     this.context.log.event('requestRefused', {
       request: call.head?.id,
       kind: 'targets-limited',
       service,
-      limit: hold.perSecond,
+      limit: hold.limitPerSecond,
       retryMs: Math.round(retryMs),
     });
     return {kind: 'not-run', why: 'targets-limited', retryMs};
@@ -152,6 +164,10 @@
 
   private noTarget(service: string): types.Refusal {
     this.context.log.event('noTarget', {service});
-    return {kind: 'not-run', why: 'no-target', retryMs: comeBack.NO_TARGET_MS};
+    return {
+      kind: 'not-run',
+      why: 'no-target',
+      retryMs: comeBack.NO_TARGET_DELAY_MS,
+    };
   }
 }
--- a/src/forwarding/relay.ts
+++ b/src/forwarding/relay.ts
@@ -1,11 +1,11 @@
 /** What relaying plain requests and streams has in common. */
 import type {Call} from './call';
-import * as comeBack from './come-back';
+import * as comeBack from './retry-delays';
 import * as exchanges from './exchange';
 import type {ForwarderContext} from './forwarder';
 import {OutcomeObserver} from './outcome-observer';
 import * as outcomes from './outcomes';
-import type {Refuser} from './refuser';
+import type {RefusalBuilder} from './refusal-builder';
 import {RelayedRequest, digestOf} from './relayed-request';
 import type {RetryBudget} from './retry-budget';
 import * as targetFinder from './target-finder';
@@ -13,15 +13,15 @@
 import * as types from './types';
 
 /** Sends of one request to a group that refuses them all. */
-const MOST_REFUSED_SENDS = 6;
+const MAX_SENDS = 6;
 /**
  * Sends of one request that are lost with their connection: what crashes a
  * target crashes the next one too.
  */
-const MOST_LOSSES = 2;
+const MAX_LOSSES = 2;
 export abstract class Relay {
   private readonly observer: OutcomeObserver;
-  private readonly refuser: Refuser;
+  private readonly refusals: RefusalBuilder;
 
   constructor(
     protected readonly context: ForwarderContext,
@@ -29,7 +29,7 @@
     protected readonly finder: TargetFinder,
   ) {
     this.observer = new OutcomeObserver(context);
-    this.refuser = finder.refuser;
+    this.refusals = finder.refusals;
   }
 
   /** Serves a request to its end. */
@@ -41,7 +41,7 @@
     request: RelayedRequest,
     target: types.Target,
   ): void {
-    call.losses += 1;
+    call.lossCount += 1;
     this.context.crashes.noteLost(target, digestOf(request));
   }
 
@@ -59,35 +59,35 @@
     target: types.Target,
     resumeAfter?: string,
   ): Promise<exchanges.Outcome> {
-    const {loads, connections, wire} = this.context;
-    const mayRepeat = types.isRepeatable(request.route);
-    call.sends += 1;
-    call.target = target.id;
+    const {balancer: loads, connections, wire} = this.context;
+    const mayRepeat = types.isRetrySafe(request.route);
+    call.sendCount += 1;
+    call.lastTargetId = target.id;
     const sentAt = performance.now();
-    let said: types.AnswerHead | undefined;
+    let said: types.ResponseHead | undefined;
     const outcome = await exchanges.exchange(wire, {
       agent: mayRepeat ? connections.kept : connections.fresh,
       target,
       head: request.head,
       body: request.body,
-      to: {
+      metadata: {
         targetId: target.id,
-        timeLeftMs: call.leftMs,
+        timeLeftMs: call.timeLeftMs,
         account: request.account?.name,
-        resumeAfter,
+        resumeAfterEventId: resumeAfter,
       },
       isStream: request.route.kind === 'stream',
-      endsAt: call.endsAt,
+      deadline: call.deadline,
       signal: call.signal,
       onHead: head => {
         said = head;
-        this.observer.hear(target, head, sentAt);
+        this.observer.noteHead(target, head, sentAt);
       },
     });
-    if (outcomes.hasAnswered(outcome)) {
+    if (outcomes.hasResponded(outcome)) {
       this.context.reach.note();
     }
-    this.observer.note(target, outcome, said, sentAt);
+    this.observer.noteOutcome(target, outcome, said, sentAt);
     call.noteOutcome(outcomes.mayHaveRun(outcome));
     if (outcomes.isLost(outcome)) {
       this.noteLost(call, request, target);
@@ -96,17 +96,19 @@
     }
     if (outcome.kind !== 'streaming') {
       // A group that is closed says nothing of the one rank.
-      const harm = this.isGroupClosed(target) ? 0 : outcomes.harmOf(outcome);
+      const harm = this.isGroupClosed(target)
+        ? 0
+        : outcomes.failureScoreOf(outcome);
       loads.end(target, harm, performance.now());
     }
     this.context.log.event('requestSent', {
       request: request.head.id,
       target: target.id,
-      send: call.sends,
+      send: call.sendCount,
       inFlight: loads.inFlight(target.lifetime),
       outcome: outcome.kind,
-      ...outcomes.detailsOf(outcome),
-      ...outcomes.askedBy(said),
+      ...outcomes.outcomeFields(outcome),
+      ...outcomes.headFields(said),
     });
     return outcome;
   }
@@ -118,7 +120,7 @@
    * beside it are served.
    */
   protected noteTried(
-    tried: outcomes.Tried,
+    tried: outcomes.TriedTargets,
     target: types.Target,
     outcome: exchanges.Outcome,
   ): void {
@@ -133,7 +135,7 @@
   }
 
   /** True where an outcome harms nobody who sends the request once more. */
-  protected mayTryNext(
+  protected mayRetry(
     call: Call,
     request: RelayedRequest,
     target: types.Target,
@@ -141,8 +143,8 @@
   ): boolean {
     const isHarmless =
       outcome.kind === 'not-run' ||
-      (outcomes.hasRunBadly(outcome) && types.isRepeatable(request.route));
-    return isHarmless && this.maySendAgain(call, request, target);
+      (outcomes.hasFailed(outcome) && types.isRetrySafe(request.route));
+    return isHarmless && this.tryRetry(call, request, target);
   }
 
   /** Passes a whole answer on, or answers ourselves. */
@@ -154,7 +156,7 @@
   ): void {
     const {group} = target;
     if (outcome.kind === 'answered') {
-      call.pass(outcome.head, outcome.body);
+      call.forwardResponse(outcome.head, outcome.body);
     } else if (
       outcome.kind === 'not-run' &&
       group !== undefined &&
@@ -164,10 +166,10 @@
       const {service} = request;
       this.refuseUnsent(
         call,
-        this.refuser.closedGroup(call, service, group, now),
+        this.refusals.closedGroup(call, service, group, now),
       );
     } else {
-      this.refuse(call, target, outcome);
+      this.refuseOutcome(call, target, outcome);
     }
   }
 
@@ -180,10 +182,10 @@
     refusal: types.Refusal,
     last?: exchanges.Outcome,
   ): void {
-    if (call.runs === 0 || refusal.kind !== 'not-run') {
+    if (call.possibleRunCount === 0 || refusal.kind !== 'not-run') {
       call.refuse(refusal);
     } else if (last?.kind === 'answered') {
-      call.pass(last.head, last.body);
+      call.forwardResponse(last.head, last.body);
     } else {
       const {retryMs} = refusal;
       call.refuse({kind: 'failed', why: 'broken-answer', retryMs});
@@ -191,18 +193,20 @@
   }
 
   /** True where the request may be sent to one more target. */
-  protected maySendAgain(
+  protected tryRetry(
     call: Call,
     request: RelayedRequest,
     target: types.Target,
   ): boolean {
     // Refusals of a group that is closed leave the request's tries alone.
-    const used = this.isGroupClosed(target) ? call.runs : call.sends;
+    const used = this.isGroupClosed(target)
+      ? call.possibleRunCount
+      : call.sendCount;
     if (
-      call.losses >= MOST_LOSSES ||
+      call.lossCount >= MAX_LOSSES ||
       used >= request.route.attempts ||
-      call.sends >= MOST_REFUSED_SENDS ||
-      call.leftMs < targetFinder.MIN_SEND_MS
+      call.sendCount >= MAX_SENDS ||
+      call.timeLeftMs < targetFinder.MIN_TIME_LEFT_MS
     ) {
       return false;
     }
@@ -216,14 +220,14 @@
   }
 
   /** Answers for an outcome that gave nothing to pass on. */
-  private refuse(
+  private refuseOutcome(
     call: Call,
     target: types.Target,
     outcome: exchanges.Outcome,
   ): void {
     switch (outcome.kind) {
       case 'not-run':
-        this.refuseUnsent(call, this.refuser.turnedAway(call, target.service));
+        this.refuseUnsent(call, this.refusals.targetFull(call, target.service));
         return;
       case 'unknown':
         call.refuse({kind: 'failed', why: outcome.why});
@@ -236,7 +240,7 @@
             : {
                 kind: 'not-run',
                 why: 'timed-out',
-                retryMs: comeBack.afterFull(call.leftMs),
+                retryMs: comeBack.afterFull(call.timeLeftMs),
               },
         );
         return;
--- a/src/forwarding/retry-budget.ts
+++ b/src/forwarding/retry-budget.ts
@@ -8,33 +8,33 @@
 /** Part of the common share that is used; the rest is for clock skew. */
 const USED_SHARE = 0.9;
 /** Entries that the extra is divided among at least. */
-const LEAST_PARTS = 24;
+const MIN_PARTS = 24;
 /**
  * And so many times those that are known: a process that has just started may
  * know of few.
  */
-const UNKNOWN_FACTOR = 2;
+const ENTRY_COUNT_FACTOR = 2;
 
 /** Requests noted before the first look for old ones. */
-const MIN_PRUNE = 1_024;
+const MIN_PRUNE_LENGTH = 1_024;
 
 export class RetryBudget {
   private requests: number[] = [];
   private retries: number[] = [];
-  private pruneAt = MIN_PRUNE;
+  private pruneLength = MIN_PRUNE_LENGTH;
 
   /** `entries`: how many are known, this one among them. */
   constructor(
     private readonly settings: () => RetryBudgetSettings,
-    private readonly entries: () => number = () => 1,
+    private readonly knownEntryCount: () => number = () => 1,
   ) {}
 
   /** Notes a request's first send; `now` is monotonic. */
   noteRequest(now: number): void {
     this.requests.push(now);
-    if (this.requests.length > this.pruneAt) {
+    if (this.requests.length > this.pruneLength) {
       this.prune(now);
-      this.pruneAt = MIN_PRUNE + 2 * this.requests.length;
+      this.pruneLength = MIN_PRUNE_LENGTH + 2 * this.requests.length;
     }
   }
 
@@ -42,7 +42,10 @@
   tryDraw(now: number): boolean {
     const {share, extra} = this.settings();
     this.prune(now);
-    const parts = Math.max(LEAST_PARTS, this.entries() * UNKNOWN_FACTOR);
+    const parts = Math.max(
+      MIN_PARTS,
+      this.knownEntryCount() * ENTRY_COUNT_FACTOR,
+    );
     const allowed = this.requests.length * share * USED_SHARE + extra / parts;
     if (this.retries.length + 1 > allowed) {
       return false;
--- a/src/forwarding/come-back.test.ts
+++ b/src/forwarding/retry-delays.test.ts
@@ -1,5 +1,5 @@
 import * as random from '../random';
-import * as comeBack from './come-back';
+import * as comeBack from './retry-delays';
 
 /** Of a stream that has just come. */
 const LEFT_MS = 8_000;
@@ -14,15 +14,17 @@
   beforeEach(() => random.seed(3));
 
   it('is when a group that has lost a rank has formed', () => {
-    expect(comeBack.afterClosing(closed({}), LEFT_MS)).toBe(840);
-    expect(comeBack.afterClosing(closed({closedMs: 500}), LEFT_MS)).toBe(350);
+    expect(comeBack.afterGroupClosed(closed({}), LEFT_MS)).toBe(840);
+    expect(comeBack.afterGroupClosed(closed({closedMs: 500}), LEFT_MS)).toBe(
+      350,
+    );
   });
 
   it('is as late as is heeded where nobody knows, and not all at once', () => {
     const unknown = [closed({closedMs: 2_000}), closed({hasBeenOpen: false})];
     for (const group of unknown) {
       const times = Array.from({length: 200}, () =>
-        comeBack.afterClosing(group, LEFT_MS),
+        comeBack.afterGroupClosed(group, LEFT_MS),
       );
       // A site that has lost power has its groups open after 1.7 s.
       expect(Math.min(...times)).toBeGreaterThan(1_700);
@@ -36,8 +38,8 @@
       const times = [
         comeBack.afterFull(leftMs),
         comeBack.afterOverload(leftMs),
-        comeBack.afterClosing(closed({}), leftMs),
-        comeBack.afterClosing(closed({hasBeenOpen: false}), leftMs),
+        comeBack.afterGroupClosed(closed({}), leftMs),
+        comeBack.afterGroupClosed(closed({hasBeenOpen: false}), leftMs),
       ];
       expect(Math.min(...times)).toBeGreaterThanOrEqual(0);
       expect(Math.max(...times)).toBeLessThanOrEqual(
@@ -48,7 +50,7 @@
 
   it('is after the rest that all targets asked for, and not all at once', () => {
     const times = Array.from({length: 200}, () =>
-      comeBack.afterRest(1_000, LEFT_MS),
+      comeBack.afterCooldown(1_000, LEFT_MS),
     );
     expect(Math.min(...times)).toBeGreaterThanOrEqual(1_000);
     expect(Math.max(...times) - Math.min(...times)).toBeGreaterThan(300);
@@ -56,11 +58,11 @@
 
   it('is as late as is heeded where the rest is longer', () => {
     const times = Array.from({length: 200}, () =>
-      comeBack.afterRest(60_000, LEFT_MS),
+      comeBack.afterCooldown(60_000, LEFT_MS),
     );
     expect(Math.max(...times)).toBeLessThan(LEFT_MS * HEEDED_SHARE);
     expect(Math.min(...times)).toBeGreaterThan(1_700);
     expect(Math.max(...times) - Math.min(...times)).toBeGreaterThan(400);
-    expect(comeBack.afterRest(60_000, -5)).toBe(0);
+    expect(comeBack.afterCooldown(60_000, -5)).toBe(0);
   });
 });
--- a/src/forwarding/come-back.ts
+++ b/src/forwarding/retry-delays.ts
@@ -8,21 +8,21 @@
 import * as rests from '../targets/rest';
 
 /** Where no target of the service is known. */
-export const NO_TARGET_MS = 300;
+export const NO_TARGET_DELAY_MS = 300;
 /** Where all have enough to do: about the time of a stream. */
-const OVERLOADED_MS = 1_600;
+const OVERLOADED_DELAY_MS = 1_600;
 /**
  * Where a target was full: a part of the time left, and no longer than a group
  * takes to form.
  */
-const FULL_SHARE = 0.25;
-const LONGEST_FULL_MS = 1_000;
+const FULL_DELAY_SHARE = 0.25;
+const MAX_FULL_DELAY_MS = 1_000;
 /** Part of the time left after which callers may be asked to come back. */
-const LONGEST_SHARE = 0.3;
+const MAX_DELAY_SHARE = 0.3;
 /** Part of that in which callers who can't be told a time are spread. */
-const LEAST_SPREAD = 0.75;
+const MIN_JITTER_SHARE = 0.75;
 /** What a group may take longer to form than its engine states. */
-const FORM_SLACK_MS = 250;
+const FORM_MARGIN_MS = 250;
 
 /** What is known of a group that takes nothing. */
 export interface ClosedGroup {
@@ -35,19 +35,22 @@
 }
 
 export function afterFull(leftMs: number): number {
-  return Math.min(Math.max(leftMs, 0) * FULL_SHARE, LONGEST_FULL_MS);
+  return Math.min(Math.max(leftMs, 0) * FULL_DELAY_SHARE, MAX_FULL_DELAY_MS);
 }
 
 export function afterOverload(leftMs: number): number {
-  return Math.min(random.jitter(OVERLOADED_MS), longest(leftMs));
+  return Math.min(random.jitter(OVERLOADED_DELAY_MS), maxDelayMs(leftMs));
 }
 
 /**
  * Where all targets have asked for rest, the first of them for so long: after it,
  * or as late as the caller heeds, never together.
  */
-export function afterRest(restMs: number, leftMs: number): number {
-  return Math.min(rests.spreadReturn(restMs), longest(leftMs) * spreadShare());
+export function afterCooldown(restMs: number, leftMs: number): number {
+  return Math.min(
+    rests.spreadReturn(restMs),
+    maxDelayMs(leftMs) * jitterShare(),
+  );
 }
 
 /**
@@ -55,12 +58,12 @@
  * in the line of those that come back, or as late as it heeds, never together.
  */
 export function afterLimit(lineMs: number, leftMs: number): number {
-  return Math.min(lineMs, longest(leftMs) * spreadShare());
+  return Math.min(lineMs, maxDelayMs(leftMs) * jitterShare());
 }
 
 /** Where nothing helps the caller: as late as it heeds. */
-export function afterConviction(leftMs: number): number {
-  return longest(leftMs) * spreadShare();
+export function afterCrashes(leftMs: number): number {
+  return maxDelayMs(leftMs) * jitterShare();
 }
 
 /**
@@ -69,18 +72,18 @@
  * be without all of its ranks: the whole site is coming back, and callers who
  * have one more try should not spend it early.
  */
-export function afterClosing(group: ClosedGroup, leftMs: number): number {
-  const openIn = group.formMs + FORM_SLACK_MS - group.closedMs;
+export function afterGroupClosed(group: ClosedGroup, leftMs: number): number {
+  const openIn = group.formMs + FORM_MARGIN_MS - group.closedMs;
   if (openIn > 0 && group.hasBeenOpen) {
-    return Math.min(openIn, longest(leftMs));
+    return Math.min(openIn, maxDelayMs(leftMs));
   }
-  return longest(leftMs) * spreadShare();
+  return maxDelayMs(leftMs) * jitterShare();
 }
 
-function spreadShare(): number {
-  return LEAST_SPREAD + (1 - LEAST_SPREAD) * random.unit();
+function jitterShare(): number {
+  return MIN_JITTER_SHARE + (1 - MIN_JITTER_SHARE) * random.unit();
 }
 
-function longest(leftMs: number): number {
-  return Math.max(leftMs, 0) * LONGEST_SHARE;
+function maxDelayMs(leftMs: number): number {
+  return Math.max(leftMs, 0) * MAX_DELAY_SHARE;
 }
--- a/src/forwarding/return-lines.ts
+++ b/src/forwarding/retry-schedule.ts
@@ -5,27 +5,27 @@
  */
 
 /** Later than this nobody is told to come back, in milliseconds. */
-const LONGEST_LINE_MS = 10_000;
+const MAX_DELAY_MS = 10_000;
 
-export class ReturnLines {
+export class RetrySchedule {
   /** Monotonic time of the last place that was given, by service. */
-  private readonly ends = new Map<string, number>();
+  private readonly lastSlots = new Map<string, number>();
 
   /**
    * Milliseconds until the next place in a service's line: `soonestMs` at least,
    * and `spacingMs` after the one before.
    */
-  next(
+  nextDelayMs(
     service: string,
     soonestMs: number,
     spacingMs: number,
     now: number,
   ): number {
     const soonest = now + soonestMs;
-    const last = this.ends.get(service) ?? -Infinity;
-    const latest = Math.max(now + LONGEST_LINE_MS, soonest);
+    const last = this.lastSlots.get(service) ?? -Infinity;
+    const latest = Math.max(now + MAX_DELAY_MS, soonest);
     const at = Math.min(Math.max(soonest, last + spacingMs), latest);
-    this.ends.set(service, at);
+    this.lastSlots.set(service, at);
     return at - now;
   }
 }
--- a/src/forwarding/slow-ranks.ts
+++ b/src/forwarding/slow-ranks.ts
@@ -11,16 +11,16 @@
  * once more, about a pass, and a retry; at twice the usual time the passes of
  * all are longer by more than that within a few.
  */
-const MOVE_SLOWNESS = 2;
+const MIN_MOVE_SLOWNESS = 2;
 
 /** True where a stream on a rank should go on at another one. */
-export function mayMove(
+export function shouldMoveStream(
   view: GroupView,
   rank: number | undefined,
   slots: number,
 ): boolean {
   const isSlow = (at: number) =>
-    view.slow.some(one => one.rank === at && one.slowness >= MOVE_SLOWNESS);
+    view.slow.some(one => one.rank === at && one.slowness >= MIN_MOVE_SLOWNESS);
   if (rank === undefined || !isSlow(rank)) {
     return false;
   }
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -5,33 +5,33 @@
  */
 import * as bodies from '../http/body';
 import * as resets from '../http/resets';
-import {mayMove} from './slow-ranks';
+import {shouldMoveStream} from './slow-ranks';
 import type {Call} from './call';
 import {EventSplitter} from './event-splitter';
 import * as exchanges from './exchange';
-import type {Tried} from './outcomes';
+import type {TriedTargets} from './outcomes';
 import {Relay} from './relay';
 import type {RelayedRequest} from './relayed-request';
 import type {Target} from './types';
-import {isRepeatable} from './types';
+import {isRetrySafe} from './types';
 
 /** The head of a stream; its events follow. */
-type StreamingAnswer = Extract<exchanges.Outcome, {kind: 'streaming'}>;
+type StreamingOutcome = Extract<exchanges.Outcome, {kind: 'streaming'}>;
 
 /** How passing a target's events on ended. */
-type PumpEnd = 'done' | 'broken' | 'caller-left' | 'timed-out' | 'moved';
+type PumpResult = 'done' | 'broken' | 'caller-left' | 'timed-out' | 'moved';
 
 export class StreamRelay extends Relay {
   async relay(call: Call, request: RelayedRequest): Promise<void> {
-    const tried: Tried = new Map();
+    const tried: TriedTargets = new Map();
     let last: exchanges.Outcome | undefined;
     const splitter = new EventSplitter();
     let hasBegun = false;
     for (;;) {
-      const mayWait = hasBegun || call.isLater;
+      const mayWait = hasBegun || call.isLikelyRetry;
       const found = await this.finder.find(call, request, tried, mayWait);
       if (!found.ok) {
-        this.giveUp(call, hasBegun, () =>
+        this.cutOrRefuse(call, hasBegun, () =>
           this.refuseUnsent(call, found.error, last),
         );
         return;
@@ -54,8 +54,8 @@
           }
         };
         const move = () =>
-          this.isSlow(target) &&
-          this.hasOther(request, tried) &&
+          this.isOnSlowRank(target) &&
+          this.hasOtherTarget(request, tried) &&
           this.mayResume(call, request, target, hasBegun, splitter);
         const end = await this.pump(
           call,
@@ -65,7 +65,7 @@
           begin,
           move,
         );
-        if (end === 'moved' && !call.hasLeft) {
+        if (end === 'moved' && !call.isCallerGone) {
           continue;
         }
         if (end === 'done') {
@@ -73,31 +73,33 @@
           call.end('answered', outcome.head.status);
           return;
         }
-        if (end === 'caller-left' || call.hasLeft) {
+        if (end === 'caller-left' || call.isCallerGone) {
           call.end('caller-left');
           return;
         }
         if (end === 'timed-out') {
-          this.giveUp(call, hasBegun, () => call.refuse({kind: 'timed-out'}));
+          this.cutOrRefuse(call, hasBegun, () =>
+            call.refuse({kind: 'timed-out'}),
+          );
           return;
         }
         this.noteLost(call, request, target);
         if (this.mayResume(call, request, target, hasBegun, splitter)) {
           continue;
         }
-        this.giveUp(call, hasBegun, () =>
+        this.cutOrRefuse(call, hasBegun, () =>
           call.refuse({kind: 'failed', why: 'broken-answer'}),
         );
         return;
       }
-      if (call.hasLeft) {
+      if (call.isCallerGone) {
         call.end('caller-left');
         return;
       }
-      if (this.mayTryNext(call, request, target, outcome)) {
+      if (this.mayRetry(call, request, target, outcome)) {
         continue;
       }
-      this.giveUp(call, hasBegun, () =>
+      this.cutOrRefuse(call, hasBegun, () =>
         this.finish(call, request, target, outcome),
       );
       return;
@@ -114,30 +116,35 @@
     const canGoOn = !hasBegun || splitter.lastId !== undefined;
     return (
       canGoOn &&
-      isRepeatable(request.route) &&
-      this.maySendAgain(call, request, target)
+      isRetrySafe(request.route) &&
+      this.tryRetry(call, request, target)
     );
   }
 
   /** True where a stream had better go on at another rank of the group. */
-  private isSlow(target: Target): boolean {
+  private isOnSlowRank(target: Target): boolean {
     const now = performance.now();
     const view = this.context.views.viewOf(target, now);
-    return view !== undefined && mayMove(view, target.rank, target.slots);
+    return (
+      view !== undefined && shouldMoveStream(view, target.rank, target.slots)
+    );
   }
 
   /**
    * True where another target may be sent to now. A stream that leaves its rank
    * while all others are at rest is cut.
    */
-  private hasOther(request: RelayedRequest, tried: Tried): boolean {
+  private hasOtherTarget(
+    request: RelayedRequest,
+    tried: TriedTargets,
+  ): boolean {
     return this.context.targets
       .ofService(request.service, performance.now())
       .some(({lifetime}) => !tried.has(lifetime));
   }
 
   /** A stream that has begun can only be cut; nothing else is honest. */
-  private giveUp(call: Call, hasBegun: boolean, refuse: () => void): void {
+  private cutOrRefuse(call: Call, hasBegun: boolean, refuse: () => void): void {
     if (hasBegun) {
       call.res.destroy();
       call.end('stream-cut');
@@ -148,12 +155,12 @@
 
   private async pump(
     call: Call,
-    from: StreamingAnswer,
+    from: StreamingOutcome,
     target: Target,
     splitter: EventSplitter,
     begin: () => void,
     move: () => boolean,
-  ): Promise<PumpEnd> {
+  ): Promise<PumpResult> {
     let isLate = false;
     let isMoved = false;
     const moving = this.context.views.updates.subscribe(() => {
@@ -170,10 +177,10 @@
     const timer = setTimeout(() => {
       isLate = true;
       from.res.destroy();
-    }, call.leftMs);
+    }, call.timeLeftMs);
     const onLeft = () => from.res.destroy();
     call.signal.addEventListener('abort', onLeft, {once: true});
-    let end: PumpEnd = 'broken';
+    let end: PumpResult = 'broken';
     try {
       for await (const chunk of from.res) {
         const events = splitter.push(chunk as Buffer);
@@ -186,7 +193,7 @@
           await bodies.writePatiently(call.res, events);
         }
       }
-      if (hasEnded(from, splitter) && !call.hasLeft) {
+      if (isComplete(from, splitter) && !call.isCallerGone) {
         end = this.finishStream(call, splitter, begin);
       }
     } catch (err) {
@@ -203,13 +210,13 @@
       moving.unsubscribe();
       call.signal.removeEventListener('abort', onLeft);
       from.res.destroy();
-      this.context.loads.end(
+      this.context.balancer.end(
         target,
-        end === 'broken' && !isLate && !isMoved && !call.hasLeft ? 1 : 0,
+        end === 'broken' && !isLate && !isMoved && !call.isCallerGone ? 1 : 0,
         performance.now(),
       );
     }
-    if (call.hasLeft) {
+    if (call.isCallerGone) {
       return 'caller-left';
     }
     if (isMoved) {
@@ -222,7 +229,7 @@
     call: Call,
     splitter: EventSplitter,
     begin: () => void,
-  ): PumpEnd {
+  ): PumpResult {
     begin();
     if (splitter.partial.length > 0) {
       call.res.write(splitter.partial);
@@ -237,7 +244,7 @@
  * end of the connection ends it, half an event tells that it broke off: the
  * caller took the half for the last one otherwise.
  */
-function hasEnded(from: StreamingAnswer, splitter: EventSplitter): boolean {
+function isComplete(from: StreamingOutcome, splitter: EventSplitter): boolean {
   const isCut = from.head.isUnframed && splitter.partial.length > 0;
   return resets.isWhole(from.res) && !isCut;
 }
--- a/src/forwarding/agents.ts
+++ b/src/forwarding/target-connections.ts
@@ -7,27 +7,33 @@
 import type * as net from 'node:net';
 
 /** Idle connections kept to one target. */
-const MAX_IDLE = 32;
+const MAX_IDLE_CONNECTIONS = 32;
 /** Longest idle time where the target names none, in milliseconds. */
-const DEFAULT_IDLE_MS = 4_000;
+const DEFAULT_IDLE_TIMEOUT_MS = 4_000;
 /** Part of the target's own idle time that is used. */
-const IDLE_SHARE = 0.7;
+const IDLE_TIMEOUT_SHARE = 0.7;
 const SECOND_MS = 1_000;
 
 /** Keeps connections for the next request. */
-class CautiousAgent extends http.Agent {
+class KeepAliveAgent extends http.Agent {
   private readonly onIdleData = new WeakMap<net.Socket, () => void>();
 
   constructor() {
-    super({keepAlive: true, maxFreeSockets: MAX_IDLE, scheduling: 'lifo'});
+    super({
+      keepAlive: true,
+      maxFreeSockets: MAX_IDLE_CONNECTIONS,
+      scheduling: 'lifo',
+    });
   }
 
   keepSocketAlive(socket: net.Socket): boolean {
-    const hint = hintOf(socket);
+    const hint = keepAliveSecondsOf(socket);
     socket.setKeepAlive(true, SECOND_MS);
     socket.unref();
     const idleMs =
-      hint === undefined ? DEFAULT_IDLE_MS : hint * SECOND_MS * IDLE_SHARE;
+      hint === undefined
+        ? DEFAULT_IDLE_TIMEOUT_MS
+        : hint * SECOND_MS * IDLE_TIMEOUT_SHARE;
     if (idleMs <= 0) {
       return false;
     }
@@ -49,7 +55,7 @@
 }
 
 /** Seconds that the target keeps an idle connection, from its last answer. */
-function hintOf(socket: net.Socket): number | undefined {
+function keepAliveSecondsOf(socket: net.Socket): number | undefined {
   const last = (socket as {_httpMessage?: {res?: http.IncomingMessage}})
     ._httpMessage;
   const header = last?.res?.headers['keep-alive'];
@@ -61,7 +67,7 @@
 /** The connections of an entry to its targets. */
 export class TargetConnections {
   /** For requests that may be repeated. */
-  readonly kept: http.Agent = new CautiousAgent();
+  readonly kept: http.Agent = new KeepAliveAgent();
   /**
    * For requests that may not: a connection of their own meets neither a
    * late answer to another request nor a close that crosses it.
--- a/src/forwarding/target-finder.ts
+++ b/src/forwarding/target-finder.ts
@@ -9,12 +9,12 @@
 import type * as exchanges from './exchange';
 import type {ForwarderContext} from './forwarder';
 import * as groupChoice from './group-choice';
-import type {GroupRoom} from './group-views';
+import type {GroupCapacity} from './group-views';
 import * as outcomes from './outcomes';
-import {PermitLines, Place} from './permit-lines';
-import {Refuser} from './refuser';
+import {PermitQueues, QueuePosition} from './permit-queues';
+import {RefusalBuilder} from './refusal-builder';
 import {RelayedRequest, digestOf, priorityOf} from './relayed-request';
-import type {ServiceHold} from './target-list';
+import type {Unavailability} from './target-list';
 import type * as types from './types';
 
 /**
@@ -22,19 +22,19 @@
  * leave a stream that is silent for two seconds, and its first event takes a
  * part of them.
  */
-const LONGEST_GATE_WAIT_MS = 1_200;
+const MAX_GROUP_WAIT_MS = 1_200;
 /** Least time left that makes another send worth while, in milliseconds. */
-export const MIN_SEND_MS = 20;
+export const MIN_TIME_LEFT_MS = 20;
 /** A stream that has begun can't be refused any more: it goes before others. */
-const BEGUN_PRIORITY = -1;
+const STARTED_STREAM_PRIORITY = -1;
 const SECOND_MS = 1_000;
 
 export class TargetFinder {
-  readonly refuser: Refuser;
-  private readonly lines = new PermitLines();
+  readonly refusals: RefusalBuilder;
+  private readonly permitQueues = new PermitQueues();
 
   constructor(private readonly context: ForwarderContext) {
-    this.refuser = new Refuser(context);
+    this.refusals = new RefusalBuilder(context);
   }
 
   /**
@@ -48,12 +48,14 @@
     tried: ReadonlyMap<string, exchanges.Outcome['kind']>,
     mayWait: boolean,
   ): Promise<Result<types.Target, types.Refusal>> {
-    const refused = this.convicted(request);
+    const refused = this.crashDigestOf(request);
     if (refused !== undefined) {
-      return fail(this.refuser.convicted(call, request.service, refused));
+      return fail(this.refusals.crashesTargets(call, request.service, refused));
     }
-    const priority = call.hasBegun ? BEGUN_PRIORITY : priorityOf(request);
-    const place = this.lines.placeFor(request.service, priority);
+    const priority = call.hasSentHead
+      ? STARTED_STREAM_PRIORITY
+      : priorityOf(request);
+    const place = this.permitQueues.positionFor(request.service, priority);
     try {
       return await this.choose(call, request, tried, mayWait, place);
     } finally {
@@ -62,7 +64,7 @@
   }
 
   /** The digest of a request that crashes targets; undefined: it is not known. */
-  private convicted(request: RelayedRequest): string | undefined {
+  private crashDigestOf(request: RelayedRequest): string | undefined {
     const {crashes} = this.context;
     const digest = crashes.isActive ? digestOf(request) : undefined;
     return digest !== undefined && crashes.refuses(digest) ? digest : undefined;
@@ -73,15 +75,15 @@
     request: RelayedRequest,
     tried: ReadonlyMap<string, exchanges.Outcome['kind']>,
     mayWait: boolean,
-    place: Place,
+    place: QueuePosition,
   ): Promise<Result<types.Target, types.Refusal>> {
-    const {targets, loads, gate} = this.context;
+    const {targets, balancer: loads, gate} = this.context;
     const startedAt = performance.now();
     const waitsUntil = Math.min(
-      startedAt + LONGEST_GATE_WAIT_MS,
-      call.endsAt - MIN_SEND_MS,
+      startedAt + MAX_GROUP_WAIT_MS,
+      call.deadline - MIN_TIME_LEFT_MS,
     );
-    targets.want(request.service, startedAt);
+    targets.requestPermits(request.service, startedAt);
     for (;;) {
       const now = performance.now();
       const known = outcomes.untried(
@@ -89,63 +91,67 @@
         tried,
       );
       // Permits that have come are for those that go first.
-      if (known.length <= place.ahead) {
+      if (known.length <= place.aheadCount) {
         const hold =
           known.length > 0
-            ? targets.holdForOthers(request.service, now)
-            : targets.holdOf(request.service, now);
-        const patienceMs = holdPatience(call, hold, place);
+            ? targets.unavailabilityForQueued(request.service, now)
+            : targets.unavailabilityOf(request.service, now);
+        const patienceMs = maxUnavailabilityWaitMs(call, hold, place);
         if (
-          call.hasLeft ||
+          call.isCallerGone ||
           now >= Math.min(startedAt + patienceMs, waitsUntil)
         ) {
-          return fail(this.refuser.noneToChoose(call, request.service, hold));
+          return fail(this.refusals.noneAvailable(call, request.service, hold));
         }
-        await gate.waitForTurn(undefined, call.signal);
+        await gate.waitForOpenOrProbe(undefined, call.signal);
         continue;
       }
       const groups = groupChoice.groupsOf(known);
       const open = groups.filter(one => gate.closedMs(one.name, now) === 0);
       const closed = open.length > 0 ? undefined : groups[0]!.name;
       // Who has waited in vain is let in while there are places.
-      const isUrgent = mayWait && (call.hasBegun || now >= waitsUntil);
-      const some = open.length > 0 ? open : this.oneToTry(groups, now);
+      const isUrgent = mayWait && (call.hasSentHead || now >= waitsUntil);
+      const some = open.length > 0 ? open : this.groupToProbe(groups, now);
       const options = some.map(one => ({
         ...one,
-        room: this.roomFor(request, one.targets, isUrgent, now),
+        capacity: this.capacityFor(request, one.targets, isUrgent, now),
       }));
       const group = groupChoice.chooseGroup(options);
       const chosen =
         group &&
-        loads.choose(group.targets, now, targets.lent(group.targets, now));
+        loads.choose(
+          group.targets,
+          now,
+          targets.withPermit(group.targets, now),
+        );
       if (chosen !== undefined) {
         // At once: others that wait choose in the same turn of the loop.
         loads.begin(chosen.lifetime);
         targets.noteSent(chosen, now);
         return ok(chosen);
       }
-      if (!mayWait || call.hasLeft || now >= waitsUntil) {
+      if (!mayWait || call.isCallerGone || now >= waitsUntil) {
         return fail(
           closed === undefined
-            ? this.refuser.overloaded(
+            ? this.refusals.overloaded(
                 call,
                 request.service,
-                groupChoice.widest(options),
+                groupChoice.leastLoaded(options),
               )
-            : this.refuser.closedGroup(call, request.service, closed, now),
+            : this.refusals.closedGroup(call, request.service, closed, now),
         );
       }
-      await gate.waitForTurn(closed, call.signal);
+      await gate.waitForOpenOrProbe(closed, call.signal);
     }
   }
 
   /** A closed group that this request may find out about; empty: none. */
-  private oneToTry(
+  private groupToProbe(
     groups: readonly groupChoice.TargetGroup[],
     now: number,
   ): readonly groupChoice.TargetGroup[] {
     const {gate} = this.context;
-    const found = groups.find(one => gate.mayEnter(one.name, now));
+    const found = groups.find(one => gate.tryEnter(one.name, now));
     return found === undefined ? [] : [found];
   }
 
@@ -153,12 +159,12 @@
    * What the group may take so that its passes are no longer than the pause
    * that the route allows; for an urgent request, while there are places.
    */
-  private roomFor(
+  private capacityFor(
     request: RelayedRequest,
     targets: readonly types.Target[],
     isUrgent: boolean,
     now: number,
-  ): GroupRoom | undefined {
+  ): GroupCapacity | undefined {
     const {configuration, views} = this.context;
     const [rank] = targets;
     const service = configuration.table?.findService(request.service);
@@ -171,7 +177,7 @@
       return undefined;
     }
     const allowedMs = isUrgent ? Infinity : pauseMs;
-    return views.roomOf(rank, service.engine, allowedMs, now);
+    return views.capacityOf(rank, service.engine, allowedMs, now);
   }
 }
 
@@ -181,21 +187,25 @@
  * a stream that has begun can't be. Back from it they take one at a time. Where
  * they have named limits, a request waits that will have its permit by then.
  */
-function holdPatience(
+function maxUnavailabilityWaitMs(
   call: Call,
-  hold: ServiceHold | undefined,
-  place: Place,
+  hold: Unavailability | undefined,
+  place: QueuePosition,
 ): number {
   if (hold === undefined) {
     return 0;
   }
-  if (hold.why === 'limited') {
+  if (hold.reason === 'limited') {
     place.join();
-    const places = Math.ceil((hold.perSecond * TRIAL_MS) / SECOND_MS);
-    return call.hasBegun ? Infinity : place.ahead < places ? TRIAL_MS : 0;
+    const places = Math.ceil((hold.limitPerSecond * TRIAL_MS) / SECOND_MS);
+    return call.hasSentHead
+      ? Infinity
+      : place.aheadCount < places
+        ? TRIAL_MS
+        : 0;
   }
-  if (call.hasBegun) {
+  if (call.hasSentHead) {
     return Infinity;
   }
-  return hold.why === 'resting' ? 0 : TRIAL_MS;
+  return hold.reason === 'resting' ? 0 : TRIAL_MS;
 }
--- a/src/forwarding/target-list.test.ts
+++ b/src/forwarding/target-list.test.ts
@@ -125,9 +125,9 @@
     list.add({...target('a'), address: 'x:1'});
     list.add({...other, address: 'x:1'});
     expect(ids(list, 0)).toEqual([]);
-    list.nameServices(['s']);
+    list.setKnownServices(['s']);
     expect(ids(list, 0)).toEqual(['a']);
-    list.nameServices(['s', 't']);
+    list.setKnownServices(['s', 't']);
     expect(ids(list, 0)).toEqual([]);
   });
 
@@ -160,19 +160,19 @@
     list.add(target('a'));
     list.add(next);
     list.leave(target('a'));
-    list.askRest(target('a'), 60_000, 0);
+    list.startCooldown(target('a'), 60_000, 0);
     expect(ids(list, 1)).toEqual(['a']);
-    expect(list.holdOf('s', 1)).toBeUndefined();
+    expect(list.unavailabilityOf('s', 1)).toBeUndefined();
   });
 
   it('holds a target back that is off the list and back in its rest', () => {
     const list = new TargetList();
     list.add(target('a'));
-    list.askRest(target('a'), 3_000, 0);
+    list.startCooldown(target('a'), 3_000, 0);
     list.remove('a', 100, false);
     list.add(target('a'));
     expect(ids(list, 2_999)).toEqual([]);
-    expect(list.holdOf('s', 2_999)).toMatchObject({why: 'resting'});
+    expect(list.unavailabilityOf('s', 2_999)).toMatchObject({why: 'resting'});
     expect(ids(list, 3_301)).toEqual(['a']);
   });
 });
--- a/src/forwarding/target-list.ts
+++ b/src/forwarding/target-list.ts
@@ -28,10 +28,10 @@
  * Lifetimes that have ended and are remembered, so that a late word of one
  * doesn't bring it back. Source: the size that decides has 3,200 targets.
  */
-const MOST_ENDED = 4_096;
+const MAX_ENDED_LIFETIMES = 4_096;
 
 /** Who says that a target leaves: its entry, or an answer of its own. */
-export type LeavingNews = 'entry' | 'answer';
+export type LeavingSource = 'entry' | 'answer';
 
 /** Why a target is in or out. */
 export type TargetChange =
@@ -39,7 +39,7 @@
   | {
       readonly kind: 'leaving';
       readonly target: Target;
-      readonly by: LeavingNews;
+      readonly by: LeavingSource;
     }
   | {readonly kind: 'gone'; readonly target: Target}
   /** It has started again under the same id. */
@@ -48,41 +48,41 @@
   | {readonly kind: 'missing'; readonly target: Target};
 
 /** All targets of a service are held back. */
-export interface ServiceHold {
+export interface Unavailability {
   /** Milliseconds until one of them may be sent something. */
-  readonly ms: number;
+  readonly waitMs: number;
   /**
    * All are at rest; one has come back and is being tried; or some could be sent
    * to but for the limits that they have named.
    */
-  readonly why: 'resting' | 'returning' | 'limited';
+  readonly reason: 'resting' | 'returning' | 'limited';
   /** Requests a second that the limited ones take from all together. */
-  readonly perSecond: number;
+  readonly limitPerSecond: number;
 }
 
-interface Held {
+interface ListedTarget {
   target: Target;
   /** Monotonic time at which a missing target is given up. */
-  goneAt: number;
+  expiresAt: number;
 }
 
 export class TargetList {
-  private readonly held = new Map<string, Held>();
+  private readonly listed = new Map<string, ListedTarget>();
   readonly limits = new LimitBook();
-  private readonly rests = new RestBook();
+  private readonly cooldowns = new RestBook();
   /** Oldest first. */
   private readonly ended = new Set<string>();
   /** Last entries of lifetimes that are off the list; oldest first. */
-  private readonly gone = new Map<string, Target>();
+  private readonly removed = new Map<string, Target>();
   /** Services that the configuration names; undefined: not known yet. */
-  private services: ReadonlySet<string> | undefined;
+  private knownServices: ReadonlySet<string> | undefined;
   /** Halls to which the operator wants nothing sent. */
-  private emptied: ReadonlySet<string> = new Set();
+  private drainedHalls: ReadonlySet<string> = new Set();
   /** By service; undefined since something changed. */
-  private lists: ReadonlyMap<string, readonly Target[]> | undefined;
-  private listedRanks: readonly Target[] | undefined;
+  private byService: ReadonlyMap<string, readonly Target[]> | undefined;
+  private cachedRanks: readonly Target[] | undefined;
   /** Monotonic time until which the lists hold. */
-  private listsUntil = 0;
+  private byServiceUntil = 0;
 
   /** `onChange` hears of every target that comes in or goes out. */
   constructor(
@@ -102,19 +102,19 @@
     const listed = new Set(unread);
     targets.forEach(target => listed.add(target.id));
     targets.forEach(target => this.add(target));
-    for (const [id, held] of [...this.held]) {
+    for (const [id, held] of [...this.listed]) {
       if (!listed.has(id)) {
-        this.miss(held, now, inGrace);
+        this.removeOrExpire(held, now, inGrace);
       }
     }
   }
 
   /** Takes one entry. */
   add(target: Target): void {
-    const before = this.held.get(target.id)?.target;
+    const before = this.listed.get(target.id)?.target;
     const isStale =
       this.ended.has(target.lifetime) ||
-      this.isOfOldCopy(target) ||
+      this.isFromOldCopy(target) ||
       (before !== undefined && before.revision > target.revision);
     if (isStale) {
       return;
@@ -130,9 +130,9 @@
       this.onChange({kind: 'leaving', target, by: 'entry'});
       return;
     }
-    this.gone.delete(target.lifetime);
-    this.held.set(target.id, {target, goneAt: Infinity});
-    this.forgetLists();
+    this.removed.delete(target.lifetime);
+    this.listed.set(target.id, {target, expiresAt: Infinity});
+    this.invalidateCaches();
     if (before === undefined || isRestarted) {
       this.onChange({kind: 'joined', target});
     }
@@ -140,27 +140,27 @@
 
   /** An entry is gone. */
   remove(id: string, now: number, inGrace: boolean): void {
-    const held = this.held.get(id);
+    const held = this.listed.get(id);
     if (held !== undefined) {
-      this.miss(held, now, inGrace);
+      this.removeOrExpire(held, now, inGrace);
     }
   }
 
   /** A target has said itself that it is not the one that was meant. */
   drop(target: Target): void {
-    if (this.isHeld(target.lifetime, target.id)) {
-      this.held.delete(target.id);
-      this.forgetLists();
-      this.gone.delete(target.lifetime);
-      this.gone.set(target.lifetime, target);
-      bounded.dropOldest(this.gone, MOST_ENDED);
+    if (this.isListed(target.lifetime, target.id)) {
+      this.listed.delete(target.id);
+      this.invalidateCaches();
+      this.removed.delete(target.lifetime);
+      this.removed.set(target.lifetime, target);
+      bounded.dropOldest(this.removed, MAX_ENDED_LIFETIMES);
       this.onChange({kind: 'gone', target});
     }
   }
 
   /** True for an entry that was gone, listed by an older copy of the store. */
-  private isOfOldCopy(target: Target): boolean {
-    const last = this.gone.get(target.lifetime);
+  private isFromOldCopy(target: Target): boolean {
+    const last = this.removed.get(target.lifetime);
     return (
       last !== undefined &&
       revisions.eraOf(target.revision) > revisions.eraOf(last.revision) &&
@@ -170,11 +170,11 @@
 
   /** A target has said in an answer that it leaves: it gets nothing more. */
   leave(target: Target): void {
-    if (this.isHeld(target.lifetime, target.id)) {
+    if (this.isListed(target.lifetime, target.id)) {
       this.end(target);
       this.onChange({kind: 'leaving', target, by: 'answer'});
     } else {
-      this.remember(target.lifetime);
+      this.markEnded(target.lifetime);
     }
   }
 
@@ -182,15 +182,15 @@
    * A target has asked in an answer for so many milliseconds of rest. True where
    * it was at none.
    */
-  askRest(target: Target, ms: number, now: number): boolean {
+  startCooldown(target: Target, ms: number, now: number): boolean {
     return (
       !this.ended.has(target.lifetime) &&
-      this.rests.ask(target.lifetime, ms, now)
+      this.cooldowns.ask(target.lifetime, ms, now)
     );
   }
 
   /** Takes what an answer says of its target's limit; tells what it changes. */
-  hearLimit(
+  noteRateLimit(
     target: Target,
     named: LimitNamed,
     sentAt: number,
@@ -202,14 +202,14 @@
   }
 
   /** Those of some targets that named a limit and to which a permit is held. */
-  lent(some: readonly Target[], now: number): readonly Target[] {
+  withPermit(some: readonly Target[], now: number): readonly Target[] {
     return this.limits.size === 0
       ? []
       : some.filter(({lifetime}) => this.limits.hasPermit(lifetime, now));
   }
 
   /** A request of a service looks for a target. */
-  want(service: string, now: number): void {
+  requestPermits(service: string, now: number): void {
     if (this.limits.size > 0) {
       const lifetimes = this.awake(service, now).map(one => one.lifetime);
       this.limits.want(lifetimes, now);
@@ -218,17 +218,17 @@
 
   /** Notes that a request goes to a target. */
   noteSent(target: Target, now: number): void {
-    this.rests.noteSent(target.lifetime, now);
+    this.cooldowns.noteSent(target.lifetime, now);
     this.limits.noteSent(target.lifetime, now);
   }
 
   /** A target took a request; true where it is used as before its rest now. */
-  noteTaken(target: Target, sentAt: number, now: number): boolean {
-    return this.rests.noteTaken(target.lifetime, sentAt, now);
+  noteAccepted(target: Target, sentAt: number, now: number): boolean {
+    return this.cooldowns.noteTaken(target.lifetime, sentAt, now);
   }
 
   get(id: string): Target | undefined {
-    return this.held.get(id)?.target;
+    return this.listed.get(id)?.target;
   }
 
   /** The lifetimes that may get work. */
@@ -240,18 +240,18 @@
    * Services that the configuration names. An entry of any other service says
    * nothing of the target at its address.
    */
-  nameServices(services: readonly string[]): void {
-    this.services = new Set(services);
-    this.forgetLists();
+  setKnownServices(services: readonly string[]): void {
+    this.knownServices = new Set(services);
+    this.invalidateCaches();
   }
 
   /**
    * Halls that the operator has emptied, all of them: their targets go on, and
    * get nothing until the hall is taken back.
    */
-  emptyHalls(halls: Iterable<string>): void {
-    this.emptied = new Set(halls);
-    this.forgetLists();
+  setDrainedHalls(halls: Iterable<string>): void {
+    this.drainedHalls = new Set(halls);
+    this.invalidateCaches();
   }
 
   /**
@@ -259,22 +259,22 @@
    * its entry stays for a while beside that of its next life at the same address.
    */
   ofService(service: string, now: number): readonly Target[] {
-    const awake = this.awake(service, now);
-    return this.limits.open(awake, target => target.lifetime, now);
+    const withoutCooldown = this.awake(service, now);
+    return this.limits.open(withoutCooldown, target => target.lifetime, now);
   }
 
   /** Those of a service that are at no rest. */
   private awake(service: string, now: number): readonly Target[] {
-    const listed = this.listsAt(now).get(service) ?? [];
-    return this.rests.awake(listed, target => target.lifetime, now);
+    const listed = this.byServiceAt(now).get(service) ?? [];
+    return this.cooldowns.awake(listed, target => target.lifetime, now);
   }
 
   /** Where all targets of a service are held back: until when, and for what. */
-  holdOf(service: string, now: number): ServiceHold | undefined {
-    const listed = this.listsAt(now).get(service) ?? [];
+  unavailabilityOf(service: string, now: number): Unavailability | undefined {
+    const listed = this.byServiceAt(now).get(service) ?? [];
     const waits = listed.map(({lifetime}) =>
       Math.max(
-        this.rests.waitMs(lifetime, now),
+        this.cooldowns.waitMs(lifetime, now),
         this.limits.waitMs(lifetime, now),
       ),
     );
@@ -284,22 +284,30 @@
     const ms = Math.min(...waits);
     const awake = this.awake(service, now);
     if (awake.length > 0) {
-      return {ms, why: 'limited', perSecond: this.limitOf(awake)};
+      return {
+        waitMs: ms,
+        reason: 'limited',
+        limitPerSecond: this.totalLimitOf(awake),
+      };
     }
     const isAtRest = listed.every(one =>
-      this.rests.isResting(one.lifetime, now),
+      this.cooldowns.isResting(one.lifetime, now),
     );
-    return {ms, why: isAtRest ? 'resting' : 'returning', perSecond: 0};
+    return {
+      waitMs: ms,
+      reason: isAtRest ? 'resting' : 'returning',
+      limitPerSecond: 0,
+    };
   }
 
   /** For a request that leaves the permits to those that go before it. */
-  holdForOthers(service: string, now: number): ServiceHold {
-    const perSecond = this.limitOf(this.ofService(service, now));
-    return {ms: 0, why: 'limited', perSecond};
+  unavailabilityForQueued(service: string, now: number): Unavailability {
+    const perSecond = this.totalLimitOf(this.ofService(service, now));
+    return {waitMs: 0, reason: 'limited', limitPerSecond: perSecond};
   }
 
   /** Requests a second that some targets have said that they take. */
-  private limitOf(some: readonly Target[]): number {
+  private totalLimitOf(some: readonly Target[]): number {
     return some.reduce(
       (sum, one) => sum + (this.limits.perSecond(one.lifetime) ?? 0),
       0,
@@ -308,42 +316,44 @@
 
   /** All targets that may get work. */
   all(): Target[] {
-    return [...this.held.values()].map(held => held.target);
+    return [...this.listed.values()].map(held => held.target);
   }
 
   /** Targets that are ranks of groups. */
   ranks(): readonly Target[] {
-    this.listedRanks ??= this.all().filter(one => one.group !== undefined);
-    return this.listedRanks;
+    this.cachedRanks ??= this.all().filter(one => one.group !== undefined);
+    return this.cachedRanks;
   }
 
   get size(): number {
-    return this.held.size;
+    return this.listed.size;
   }
 
   /** Lists of before hold until a target comes, goes or is given up. */
-  private listsAt(now: number): ReadonlyMap<string, readonly Target[]> {
-    if (this.lists === undefined || now >= this.listsUntil) {
-      const entries = [...this.held.values()];
+  private byServiceAt(now: number): ReadonlyMap<string, readonly Target[]> {
+    if (this.byService === undefined || now >= this.byServiceUntil) {
+      const entries = [...this.listed.values()];
       entries
-        .filter(({goneAt}) => goneAt <= now)
+        .filter(({expiresAt: goneAt}) => goneAt <= now)
         .forEach(({target}) => this.drop(target));
-      this.listsUntil = Math.min(
-        ...[...this.held.values()].map(({goneAt}) => goneAt),
+      this.byServiceUntil = Math.min(
+        ...[...this.listed.values()].map(({expiresAt: goneAt}) => goneAt),
       );
-      this.lists = grouping.groupBy(
-        this.newestAtAddresses().filter(one => !this.emptied.has(one.hall)),
+      this.byService = grouping.groupBy(
+        this.newestAtAddresses().filter(
+          one => !this.drainedHalls.has(one.hall),
+        ),
         target => target.service,
       );
     }
-    return this.lists;
+    return this.byService;
   }
 
   private newestAtAddresses(): Target[] {
     const newest = new Map<string, Target>();
-    for (const {target} of this.held.values()) {
+    for (const {target} of this.listed.values()) {
       const other = newest.get(target.address);
-      const isNamed = this.services?.has(target.service) ?? true;
+      const isNamed = this.knownServices?.has(target.service) ?? true;
       if (isNamed && (other?.revision ?? -1) < target.revision) {
         newest.set(target.address, target);
       }
@@ -351,37 +361,41 @@
     return [...newest.values()];
   }
 
-  private forgetLists(): void {
-    this.lists = undefined;
-    this.listedRanks = undefined;
+  private invalidateCaches(): void {
+    this.byService = undefined;
+    this.cachedRanks = undefined;
   }
 
-  private isHeld(lifetime: string, id: string): boolean {
-    return this.held.get(id)?.target.lifetime === lifetime;
+  private isListed(lifetime: string, id: string): boolean {
+    return this.listed.get(id)?.target.lifetime === lifetime;
   }
 
   /** A lifetime is over for good. */
   private end(target: Target): void {
-    this.held.delete(target.id);
-    this.forgetLists();
-    this.remember(target.lifetime);
+    this.listed.delete(target.id);
+    this.invalidateCaches();
+    this.markEnded(target.lifetime);
   }
 
   /** A late word of a lifetime that has ended doesn't bring it back. */
-  private remember(lifetime: string): void {
-    this.rests.forget(lifetime);
+  private markEnded(lifetime: string): void {
+    this.cooldowns.forget(lifetime);
     this.limits.forget(lifetime);
     this.ended.delete(lifetime);
     this.ended.add(lifetime);
-    bounded.dropOldest(this.ended, MOST_ENDED);
+    bounded.dropOldest(this.ended, MAX_ENDED_LIFETIMES);
   }
 
-  private miss(held: Held, now: number, inGrace: boolean): void {
+  private removeOrExpire(
+    held: ListedTarget,
+    now: number,
+    inGrace: boolean,
+  ): void {
     if (!inGrace) {
       this.drop(held.target);
-    } else if (held.goneAt === Infinity) {
-      held.goneAt = now + LAPSE_GRACE_MS;
-      this.forgetLists();
+    } else if (held.expiresAt === Infinity) {
+      held.expiresAt = now + LAPSE_GRACE_MS;
+      this.invalidateCaches();
       this.onChange({kind: 'missing', target: held.target});
     }
   }
--- a/src/forwarding/types.ts
+++ b/src/forwarding/types.ts
@@ -35,9 +35,9 @@
 export interface Prompt {
   readonly promptTokens: number;
   /** Most tokens that it wants. */
-  readonly answerTokens: number;
+  readonly maxAnswerTokens: number;
   /** The caller's guess of how many it will be; 0: none. */
-  readonly guessedTokens: number;
+  readonly expectedAnswerTokens: number;
   /** The part that says what it is about; empty: unknown. */
   readonly subject: string;
 }
@@ -60,17 +60,17 @@
 }
 
 /** What is told to a target beside the caller's own request. */
-export interface Addressee {
+export interface RequestMetadata {
   readonly targetId: string;
   readonly timeLeftMs: number;
   /** Client account that holds the key; undefined: none. */
   readonly account: string | undefined;
   /** Event after which a stream goes on; undefined: as the caller said. */
-  readonly resumeAfter: string | undefined;
+  readonly resumeAfterEventId: string | undefined;
 }
 
 /** What a target's answer says before its body. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   /** The id that the answer claims to be for. */
   readonly requestId: string | undefined;
@@ -81,15 +81,15 @@
   /** The body is not the target's own bytes. */
   readonly isEncoded: boolean;
   /** What the target asks for besides. */
-  readonly rest: RestAsked;
+  readonly retryAfter: RestAsked;
   /** The target says that it leaves. */
   readonly isLeaving: boolean;
   /** What the target names as its limit; undefined: it isn't its answer. */
-  readonly limit: LimitNamed | undefined;
+  readonly rateLimit: LimitNamed | undefined;
   /** No length and no chunks: the end of the connection ends the body. */
   readonly isUnframed: boolean;
   /** Headers to pass on, names and values by turns. */
-  readonly passedHeaders: readonly string[];
+  readonly forwardedHeaders: readonly string[];
 }
 
 /** Why a caller gets an answer of our own. */
@@ -137,8 +137,8 @@
   /** Undefined where the request lacks what every request must carry. */
   abstract readRequest(req: http.IncomingMessage): RequestHead | undefined;
   /** Headers of the request to a target, names and values by turns. */
-  abstract targetHeaders(head: RequestHead, to: Addressee): string[];
-  abstract readAnswer(res: http.IncomingMessage): AnswerHead;
+  abstract targetHeaders(head: RequestHead, to: RequestMetadata): string[];
+  abstract readResponse(res: http.IncomingMessage): ResponseHead;
   /** Status and headers of an answer of our own. */
   abstract refusalHead(
     refusal: Refusal,
@@ -147,7 +147,7 @@
 }
 
 /** True where sending a request twice does no harm. */
-export function isRepeatable(route: Route): boolean {
+export function isRetrySafe(route: Route): boolean {
   return (
     route.kind === 'safe' || (route.kind === 'stream' && route.isResumable)
   );
--- a/src/requests/entry-assistant.ts
+++ b/src/requests/entry-assistant.ts
@@ -2,7 +2,7 @@
 import type * as http from 'node:http';
 import * as body from '../http/body';
 import * as httpClient from '../http/client';
-import * as prefixes from '../routing/prefixes';
+import * as prefixes from '../routing/prefix-index';
 import type {Known} from '../targets/directory';
 import * as assistant from './assistant';
 import * as entry from './entry-context';
--- a/src/requests/entry-forward.ts
+++ b/src/requests/entry-forward.ts
@@ -54,7 +54,7 @@
   const tried = new Set<string>();
   const outcomes: refusals.Outcome[] = [];
   let last: refusals.Refusal | undefined;
-  context.budget.noteFirstTry();
+  context.budget.noteFirstAttempt();
   for (let tries = 0; tries < MAX_TRIES; tries += 1) {
     const target = chooseTarget(context, caller, call, tried);
     if (target === undefined) {
@@ -184,11 +184,11 @@
     hall: target.hall,
     load: target.load,
     loadAgeMs: now - target.loadAt,
-    sentSince: unseen.requests,
-    sentTokens: unseen.tokens,
+    sentSinceReport: unseen.requests,
+    tokensSentSinceReport: unseen.tokens,
     inFlight: target.inFlight,
     cachedTokens:
-      prefix === '' ? 0 : context.prefixes.tokensAt(prefix, target.id),
+      prefix === '' ? 0 : context.prefixes.cachedTokensAt(prefix, target.id),
   };
 }
 
@@ -202,7 +202,7 @@
   target.inFlight += 1;
   const sentAt = performance.now();
   context.targets.noteSent(target.id);
-  const cached = context.prefixes.tokensAt(call.routed.prefix, target.id);
+  const cached = context.prefixes.cachedTokensAt(call.routed.prefix, target.id);
   const tokens = Math.max(call.routed.promptTokens - cached, 0);
   target.sent.note(Date.now(), tokens);
   const done = once(() => {
--- a/src/requests/sidecar-assistant.ts
+++ b/src/requests/sidecar-assistant.ts
@@ -3,7 +3,7 @@
 import * as body from '../http/body';
 import * as httpClient from '../http/client';
 import {Result, fail, ok} from '../result';
-import * as prefixes from '../routing/prefixes';
+import * as prefixes from '../routing/prefix-index';
 import type {Ticket} from './admission';
 import * as assistant from './assistant';
 import * as answers from './answers';
--- a/src/roles/entry.ts
+++ b/src/roles/entry.ts
@@ -14,9 +14,9 @@
 import * as journal from '../requests/journal';
 import {AccountLimits} from '../requests/limits';
 import * as refusals from '../requests/refusals';
-import {RetryBudget} from '../routing/budget';
+import {RetryBudget} from '../routing/retry-budget';
 import {ScoredPolicy} from '../routing/policy';
-import {PrefixMemory} from '../routing/prefixes';
+import {PrefixIndex} from '../routing/prefix-index';
 import * as score from '../routing/score';
 import {RpcClient} from '../rpc/client';
 import {RpcServer} from '../rpc/server';
@@ -136,7 +136,7 @@
       targets,
       claims: directory,
       policy: new ScoredPolicy(() => this.scoreSettings()),
-      prefixes: new PrefixMemory(),
+      prefixes: new PrefixIndex(),
       budget: new RetryBudget(() => this.retryShare()),
       rpc,
       agent,
--- a/src/roles/site-entry.ts
+++ b/src/roles/site-entry.ts
@@ -1,7 +1,7 @@
 /** The entry of a site: takes callers' requests to targets that it knows. */
 import * as http from 'node:http';
-import {TargetConnections} from '../forwarding/agents';
-import {TargetLoads} from '../forwarding/choose';
+import {TargetConnections} from '../forwarding/target-connections';
+import {LoadBalancer} from '../forwarding/load-balancer';
 import {Forwarder} from '../forwarding/forwarder';
 import {GroupGate} from '../forwarding/group-gate';
 import {GroupViews} from '../forwarding/group-views';
@@ -33,7 +33,7 @@
 
 export class SiteEntry {
   private readonly site: SiteFollower;
-  private readonly loads: TargetLoads;
+  private readonly loads: LoadBalancer;
   private readonly rpc = new RpcClient();
   private readonly rpcServer: RpcServer;
   private readonly reach = new Reach();
@@ -74,9 +74,9 @@
       hall: cfg.hall,
       rpcPort: cfg.rpcPort,
       ranks: () => targets.ranks(),
-      entries: () => this.site.knownEntries,
-      onSeen: ({service, group}, isOpen, at) => {
-        const word = group && gate.noteTold(group, isOpen, at);
+      knownEntryCount: () => this.site.knownEntries,
+      onGroupState: ({service, group}, isOpen, at) => {
+        const word = group && gate.noteReport(group, isOpen, at);
         if (word !== undefined && word !== 'known') {
           const event = word === 'closed' ? 'groupClosed' : 'groupOpen';
           log.event(event, {service, group, by: 'sidecar'});
@@ -84,25 +84,25 @@
       },
       inFlight: lifetime => this.loads.inFlight(lifetime),
     });
-    this.loads = new TargetLoads(cfg.hall, this.views);
+    this.loads = new LoadBalancer(cfg.hall, this.views);
     this.lostTime.lost.subscribe(lostMs => {
       this.site.age(lostMs);
-      this.views.forget();
+      this.views.clear();
     });
     this.forwarder = new Forwarder({
       cfg,
       wire,
       configuration,
       targets,
-      loads: this.loads,
+      balancer: this.loads,
       gate,
       views: this.views,
       reach: this.reach,
       connections: this.connections,
       crashes: this.site.crashes,
-      knownEntries: () => this.site.knownEntries,
-      whenComplete: waitMs => this.site.whenComplete(waitMs),
-      isCutOff: () => this.site.isCutOff(performance.now()),
+      knownEntryCount: () => this.site.knownEntries,
+      whenRoutable: waitMs => this.site.whenComplete(waitMs),
+      isIsolated: () => this.site.isCutOff(performance.now()),
       log,
       metrics: this.metrics,
     });
@@ -185,7 +185,7 @@
 
   private answer(req: http.IncomingMessage, res: http.ServerResponse): void {
     this.lostTime.look();
-    this.forwarder.answer(req, res).catch(err => {
+    this.forwarder.handle(req, res).catch(err => {
       this.log.event('requestFault', {error: String((err as Error).stack)});
       res.destroy();
     });
@@ -199,7 +199,7 @@
   }
 
   private onTargets(): void {
-    this.views.update();
+    this.views.pollNewGroups();
     const {lifetimes} = this.site.targets;
     this.loads.retain(lifetime => lifetimes.has(lifetime));
   }
--- a/src/roles/site-follower.ts
+++ b/src/roles/site-follower.ts
@@ -116,7 +116,7 @@
     this.targetsCopy = new KindCopy(targetsKind);
     this.emptiedHalls = new EmptiedHalls(
       emptiedHallsKind,
-      halls => this.targets.emptyHalls(halls),
+      halls => this.targets.setDrainedHalls(halls),
       context.log,
     );
     this.book = new PeerBook(context.rpcAddress, cfg.seeds);
@@ -355,7 +355,7 @@
     }
     const {version, limits, services, routes} = read.value;
     if (this.configuration.offer(read.value)) {
-      this.targets.nameServices([
+      this.targets.setKnownServices([
         ...services.map(one => one.name),
         ...routes.flatMap(one => one.services.map(part => part.service)),
       ]);
--- a/src/routing/policy.ts
+++ b/src/routing/policy.ts
@@ -5,11 +5,11 @@
 import * as types from './types';
 
 /** Rendezvous homes of a prompt prefix that are always weighed. */
-const HOMES = 2;
+const HOME_CANDIDATES = 2;
 /** Candidates besides, drawn at random. */
-const SAMPLED = 2;
+const RANDOM_CANDIDATES = 2;
 /** Candidates besides, because they are believed to hold the prefix. */
-const HOLDERS = 2;
+const CACHED_CANDIDATES = 2;
 
 /**
  * Weighs the prefix's homes, its believed holders and a random sample, and
@@ -24,7 +24,7 @@
     request: types.RoutedRequest,
     candidates: readonly types.Candidate[],
   ): types.Decision {
-    const weighed = pickFew(request, candidates).map(candidate =>
+    const weighed = pickCandidates(request, candidates).map(candidate =>
       scoring.score(request, candidate, this.settings()),
     );
     weighed.sort((a, b) => a.score - b.score);
@@ -32,11 +32,11 @@
   }
 }
 
-function pickFew(
+function pickCandidates(
   request: types.RoutedRequest,
   candidates: readonly types.Candidate[],
 ): types.Candidate[] {
-  if (candidates.length <= HOMES + SAMPLED) {
+  if (candidates.length <= HOME_CANDIDATES + RANDOM_CANDIDATES) {
     return [...candidates];
   }
   const few = new Set(
@@ -44,13 +44,13 @@
       `${request.account}/${request.prefix}`,
       candidates,
       candidate => candidate.id,
-      HOMES,
+      HOME_CANDIDATES,
     ),
   );
   const holders = candidates.filter(candidate => candidate.cachedTokens > 0);
   holders.sort((a, b) => b.cachedTokens - a.cachedTokens);
-  holders.slice(0, HOLDERS).forEach(holder => few.add(holder));
-  for (let drawn = 0; drawn < SAMPLED; drawn += 1) {
+  holders.slice(0, CACHED_CANDIDATES).forEach(holder => few.add(holder));
+  for (let drawn = 0; drawn < RANDOM_CANDIDATES; drawn += 1) {
     few.add(random.pick(candidates));
   }
   return [...few];
@@ -106,5 +106,7 @@
 }
 
 function outstanding(candidate: types.Candidate): number {
-  return candidate.load.running + candidate.load.queued + candidate.sentSince;
+  return (
+    candidate.load.running + candidate.load.queued + candidate.sentSinceReport
+  );
 }
--- a/src/routing/prefixes.ts
+++ b/src/routing/prefix-index.ts
@@ -10,7 +10,7 @@
 /** Characters of the prompt whose digest names its prefix. */
 const PREFIX_CHARACTERS = 1_024;
 const MAX_PREFIXES = 4_096;
-const MAX_HOLDERS = 4;
+const MAX_HOLDERS_PER_PREFIX = 4;
 
 /** Tokens of a text, estimated. */
 export function estimateTokens(text: string): number {
@@ -29,11 +29,11 @@
   readonly tokens: number;
 }
 
-export class PrefixMemory {
+export class PrefixIndex {
   private readonly byPrefix = new Map<string, Holder[]>();
 
   /** Prompt tokens that a target is believed to hold. */
-  tokensAt(prefix: string, id: string): number {
+  cachedTokensAt(prefix: string, id: string): number {
     const holders = this.byPrefix.get(prefix) ?? [];
     return holders.find(holder => holder.id === id)?.tokens ?? 0;
   }
@@ -43,7 +43,10 @@
     const held = this.byPrefix.get(prefix) ?? [];
     const others = held.filter(holder => holder.id !== id);
     this.byPrefix.delete(prefix);
-    this.byPrefix.set(prefix, [{id, tokens}, ...others].slice(0, MAX_HOLDERS));
+    this.byPrefix.set(
+      prefix,
+      [{id, tokens}, ...others].slice(0, MAX_HOLDERS_PER_PREFIX),
+    );
     this.evict();
   }
 
--- a/src/routing/rendezvous.ts
+++ b/src/routing/rendezvous.ts
@@ -5,7 +5,7 @@
 import * as murmurhash from 'murmurhash';
 
 /** The weight of a member for a key. */
-export function weigh(key: string, member: string): number {
+export function weightOf(key: string, member: string): number {
   return murmurhash.v3(member, murmurhash.v3(key));
 }
 
--- a/src/routing/budget.ts
+++ b/src/routing/retry-budget.ts
@@ -2,27 +2,27 @@
  * The budget that retries draw on: a share of first tries, so that retries
  * can never multiply a failure's load.
  */
-const MAX_SAVED = 20;
+const MAX_TOKENS = 20;
 
 export class RetryBudget {
-  private saved: number;
+  private tokens: number;
 
   /** `share`: retries per first try, in the long run. */
   constructor(private readonly share: () => number) {
-    this.saved = MAX_SAVED / 2;
+    this.tokens = MAX_TOKENS / 2;
   }
 
   /** Notes a first try. */
-  noteFirstTry(): void {
-    this.saved = Math.min(this.saved + this.share(), MAX_SAVED);
+  noteFirstAttempt(): void {
+    this.tokens = Math.min(this.tokens + this.share(), MAX_TOKENS);
   }
 
   /** True where a retry may go out; it is then paid for. */
   tryDraw(): boolean {
-    if (this.saved < 1) {
+    if (this.tokens < 1) {
       return false;
     }
-    this.saved -= 1;
+    this.tokens -= 1;
     return true;
   }
 }
--- a/src/routing/score.ts
+++ b/src/routing/score.ts
@@ -29,9 +29,9 @@
   candidate: Candidate,
   cfg: ScoreSettings,
 ): Scored {
-  const waitMs = waitOf(candidate, cfg);
-  const prefillMs = prefillOf(request, candidate, cfg);
-  const stepMs = slownessOf(candidate) * cfg.skewSteps;
+  const waitMs = waitMsOf(candidate, cfg);
+  const prefillMs = prefillMsOf(request, candidate, cfg);
+  const stepMs = stepExcessMsOf(candidate) * cfg.skewSteps;
   const hallMs = candidate.hall === request.hall ? 0 : cfg.hallMs;
   return {
     id: candidate.id,
@@ -44,10 +44,10 @@
 }
 
 /** The reported wait fades with its age; what was sent since is added. */
-function waitOf(candidate: Candidate, cfg: ScoreSettings): number {
+function waitMsOf(candidate: Candidate, cfg: ScoreSettings): number {
   const {load} = candidate;
   const trust = 0.5 ** (candidate.loadAgeMs / cfg.halfLifeMs);
-  const own = Math.max(candidate.sentSince, 0);
+  const own = Math.max(candidate.sentSinceReport, 0);
   const seats = Math.max(load.capacity, 1);
   const perRequestMs = Math.max(load.stepMs, 1);
   const running = Math.max(load.running, candidate.inFlight);
@@ -56,12 +56,12 @@
   return load.waitMs * trust + share * perRequestMs + isFull;
 }
 
-function prefillOf(
+function prefillMsOf(
   request: RoutedRequest,
   candidate: Candidate,
   cfg: ScoreSettings,
 ): number {
-  const queued = candidate.load.prefillTokens + candidate.sentTokens;
+  const queued = candidate.load.prefillTokens + candidate.tokensSentSinceReport;
   const own = Math.max(request.promptTokens - candidate.cachedTokens, 0);
   return (queued + own) * cfg.prefillMsPerToken;
 }
@@ -70,7 +70,7 @@
  * How much a rank exceeds the rest of its group's step: work added to the
  * slowest rank makes every request of the group wait.
  */
-function slownessOf(candidate: Candidate): number {
+function stepExcessMsOf(candidate: Candidate): number {
   const {rankMs, stepMs} = candidate.load;
   const SLOWEST_SHARE = 0.9;
   return stepMs > 0 && rankMs > SLOWEST_SHARE * stepMs
