--- a/bench/routing.ts
+++ b/bench/routing.ts
@@ -107,8 +107,8 @@
       rankMs: view.rankMs,
     },
     loadAgeMs: now - view.at,
-    sentSinceReport: unseen.requests,
-    tokensSentSinceReport: unseen.tokens,
+    unreported: unseen.requests,
+    unreportedTokens: unseen.tokens,
     inFlight: view.inFlight,
     cachedTokens: entry.prefixes.cachedTokensAt(prefix, rank.id),
   };
--- a/src/forwarding/group-choice.ts
+++ b/src/forwarding/group-choice.ts
@@ -35,10 +35,10 @@
 export function chooseGroup(
   options: readonly GroupOption[],
 ): GroupOption | undefined {
-  const weights = options.map(({capacity: room, targets}) =>
-    room === undefined
+  const weights = options.map(({capacity, targets}) =>
+    capacity === undefined
       ? targets.length
-      : Math.max(room.most - room.requests, 0),
+      : Math.max(capacity.most - capacity.requests, 0),
   );
   let left = random.unit() * weights.reduce((sum, weight) => sum + weight, 0);
   return options.find((_, at) => {
@@ -51,7 +51,7 @@
 export function leastLoaded(
   options: readonly GroupOption[],
 ): GroupCapacity | undefined {
-  const rooms = options.flatMap(({capacity: room}) => room ?? []);
-  const shareOf = (room: GroupCapacity) => room.requests / room.most;
-  return rooms.sort((a, b) => shareOf(a) - shareOf(b))[0];
+  const capacities = options.flatMap(({capacity}) => capacity ?? []);
+  const loadOf = (capacity: GroupCapacity) => capacity.requests / capacity.most;
+  return capacities.sort((a, b) => loadOf(a) - loadOf(b))[0];
 }
--- a/src/forwarding/load-balancer.ts
+++ b/src/forwarding/load-balancer.ts
@@ -16,7 +16,7 @@
  */
 const FAILURE_WEIGHT = 24;
 /** A share of failures is halved in this time, in milliseconds. */
-const FAILURE_HALF_LIFE_MS = 8_000;
+const HALF_LIFE_MS = 8_000;
 /**
  * Places that a rank's slowness costs: each request there lengthens the passes
  * of all ranks by its slowness.
@@ -166,8 +166,5 @@
 const TIE_BREAK = 0.1;
 
 function decayedFailureShare(record: TargetRecord, now: number): number {
-  return (
-    record.failureShare *
-    0.5 ** ((now - record.updatedAt) / FAILURE_HALF_LIFE_MS)
-  );
+  return record.failureShare * 0.5 ** ((now - record.updatedAt) / HALF_LIFE_MS);
 }
--- a/src/forwarding/outcome-observer.ts
+++ b/src/forwarding/outcome-observer.ts
@@ -18,22 +18,22 @@
 export class OutcomeObserver {
   constructor(private readonly context: ObserverContext) {}
 
-  /** Notes how a send ended; `said` is the head of its answer. */
+  /** Notes how a send ended; `head` is the head of its answer. */
   noteOutcome(
     target: types.Target,
     outcome: exchanges.Outcome,
-    said: types.ResponseHead | undefined,
+    head: types.ResponseHead | undefined,
     sentAt: number,
   ): void {
     if (outcome.kind === 'not-run' && outcome.status === outcomes.MISDIRECTED) {
       // Another life, or another service, has the address by now.
       this.context.targets.drop(target);
     }
-    this.noteGroup(target, outcome, said);
+    this.noteGroup(target, outcome, head);
     this.noteCooldownEnd(target, outcome, sentAt);
   }
 
-  /** Holds what a target asks for besides, as soon as it has said so. */
+  /** Holds what a target asks for besides, as soon as it has head so. */
   noteHead(
     target: types.Target,
     head: types.ResponseHead,
@@ -41,34 +41,35 @@
   ): void {
     const {targets, metrics, log} = this.context;
     const {id, service} = target;
-    const {retryAfter: rest} = head;
+    const {retryAfter} = head;
     this.noteRateLimit(target, head, sentAt);
     if (head.isLeaving) {
       targets.leave(target);
     }
-    if (rest.kind !== 'rest') {
+    if (retryAfter.kind !== 'rest') {
       return;
     }
     metrics.count('rests_asked_total', {service});
-    if (targets.startCooldown(target, rest.ms, performance.now())) {
-      log.event('targetResting', {target: id, service, restMs: rest.ms});
+    if (targets.startCooldown(target, retryAfter.ms, performance.now())) {
+      log.event('targetResting', {target: id, service, restMs: retryAfter.ms});
     }
   }
 
   private noteRateLimit(
     target: types.Target,
-    {rateLimit: limit}: types.ResponseHead,
+    {rateLimit}: types.ResponseHead,
     sentAt: number,
   ): void {
     const {targets, log, metrics} = this.context;
     const now = performance.now();
-    const change = limit && targets.noteRateLimit(target, limit, sentAt, now);
+    const change =
+      rateLimit && targets.noteRateLimit(target, rateLimit, sentAt, now);
     if (change !== undefined) {
       metrics.count('limits_heard_total', {service: target.service, change});
       log.event(change === 'ended' ? 'limitEnded' : 'targetLimited', {
         target: target.id,
         service: target.service,
-        limit: limit?.kind === 'limit' ? limit.perSecond : undefined,
+        limit: rateLimit?.kind === 'limit' ? rateLimit.perSecond : undefined,
         by: 'answer',
       });
     }
@@ -96,7 +97,7 @@
   private noteGroup(
     target: types.Target,
     outcome: exchanges.Outcome,
-    said: types.ResponseHead | undefined,
+    head: types.ResponseHead | undefined,
   ): void {
     const {gate, log} = this.context;
     const {group, service} = target;
@@ -113,7 +114,7 @@
     } else if (
       outcome.kind === 'not-run' &&
       outcome.status === outcomes.UNAVAILABLE &&
-      said?.retryAfter.kind !== 'rest' &&
+      head?.retryAfter.kind !== 'rest' &&
       gate.noteRefused(group, target.id, now)
     ) {
       log.event('groupClosed', {service, group, target: target.id});
--- a/src/forwarding/outcomes.ts
+++ b/src/forwarding/outcomes.ts
@@ -86,13 +86,13 @@
 
 /** Fields of a log line: what the target asked for besides. */
 export function headFields(head: ResponseHead | undefined): object {
-  const {retryAfter: rest, rateLimit: limit} = head ?? {};
+  const {retryAfter, rateLimit} = head ?? {};
   return {
-    ...(rest?.kind === 'rest' ? {restMs: rest.ms} : {}),
-    ...(rest?.kind === 'unread' ? {unreadRest: rest.text} : {}),
+    ...(retryAfter?.kind === 'rest' ? {restMs: retryAfter.ms} : {}),
+    ...(retryAfter?.kind === 'unread' ? {unreadRest: retryAfter.text} : {}),
     ...(head?.isLeaving === true ? {leaving: true} : {}),
-    ...(limit?.kind === 'limit' ? {limit: limit.perSecond} : {}),
-    ...(limit?.kind === 'unread' ? {unreadLimit: limit.text} : {}),
+    ...(rateLimit?.kind === 'limit' ? {limit: rateLimit.perSecond} : {}),
+    ...(rateLimit?.kind === 'unread' ? {unreadLimit: rateLimit.text} : {}),
   };
 }
 
--- a/src/forwarding/refusal-builder.ts
+++ b/src/forwarding/refusal-builder.ts
@@ -67,7 +67,7 @@
   overloaded(
     call: Call,
     service: string,
-    room: GroupCapacity | undefined,
+    capacity: GroupCapacity | undefined,
   ): types.Refusal {
     this.context.metrics.count('overloads_total', {service});
     this.context.log.event('requestRefused', {
@@ -75,7 +75,7 @@
       kind: 'overloaded',
       service,
       isLater: call.isLikelyRetry,
-      ...room,
+      ...capacity,
     });
     const retryMs = comeBack.afterOverload(call.timeLeftMs);
     return {kind: 'not-run', why: 'overloaded', retryMs};
@@ -83,53 +83,53 @@
 
   /** The last target turned the request away; others may take the next. */
   targetFull(call: Call, service: string): types.Refusal {
-    const hold = this.context.targets.unavailabilityOf(
+    const cause = this.context.targets.unavailabilityOf(
       service,
       performance.now(),
     );
-    return hold === undefined
+    return cause === undefined
       ? {
           kind: 'not-run',
           why: 'target-full',
           retryMs: comeBack.afterFull(call.timeLeftMs),
         }
-      : this.unavailable(call, service, hold);
+      : this.unavailable(call, service, cause);
   }
 
   /** Why there is no target to choose. */
   noneAvailable(
     call: Call,
     service: string,
-    hold: Unavailability | undefined,
+    cause: Unavailability | undefined,
   ): types.Refusal {
-    return hold === undefined
+    return cause === undefined
       ? this.noTarget(service)
-      : this.unavailable(call, service, hold);
+      : this.unavailable(call, service, cause);
   }
 
   /** All targets are held back for a while: the caller is told for how long. */
   private unavailable(
     call: Call,
     service: string,
-    hold: Unavailability,
+    cause: Unavailability,
   ): types.Refusal {
-    return hold.reason === 'limited'
-      ? this.rateLimited(call, service, hold)
-      : this.coolingDown(call, service, hold);
+    return cause.reason === 'limited'
+      ? this.rateLimited(call, service, cause)
+      : this.coolingDown(call, service, cause);
   }
 
   private coolingDown(
     call: Call,
     service: string,
-    hold: Unavailability,
+    cause: Unavailability,
   ): types.Refusal {
-    const retryMs = comeBack.afterCooldown(hold.waitMs, call.callerTimeLeftMs);
+    const retryMs = comeBack.afterCooldown(cause.waitMs, call.callerTimeLeftMs);
     this.context.metrics.count('rest_refusals_total', {service});
     this.context.log.event('requestRefused', {
       request: call.head?.id,
       kind: 'targets-resting',
       service,
-      restMs: Math.round(hold.waitMs),
+      restMs: Math.round(cause.waitMs),
       retryMs: Math.round(retryMs),
     });
     return {kind: 'not-run', why: 'targets-resting', retryMs};
@@ -139,14 +139,14 @@
   private rateLimited(
     call: Call,
     service: string,
-    hold: Unavailability,
+    cause: Unavailability,
   ): types.Refusal {
-    const perEntry = hold.limitPerSecond / this.context.knownEntryCount();
+    const perEntry = cause.limitPerSecond / this.context.knownEntryCount();
     const spacingMs = SECOND_MS / Math.max(perEntry, MIN_RETRIES_PER_SECOND);
     const now = performance.now();
     const lineMs = this.retrySchedule.nextDelayMs(
       service,
-      hold.waitMs,
+      cause.waitMs,
       spacingMs,
       now,
     );
@@ -156,7 +156,7 @@
       request: call.head?.id,
       kind: 'targets-limited',
       service,
-      limit: hold.limitPerSecond,
+      limit: cause.limitPerSecond,
       retryMs: Math.round(retryMs),
     });
     return {kind: 'not-run', why: 'targets-limited', retryMs};
--- a/src/forwarding/relay.ts
+++ b/src/forwarding/relay.ts
@@ -59,7 +59,7 @@
     target: types.Target,
     resumeAfter?: string,
   ): Promise<exchanges.Outcome> {
-    const {balancer: loads, connections, wire} = this.context;
+    const {balancer, connections, wire} = this.context;
     const mayRepeat = types.isRetrySafe(request.route);
     call.sendCount += 1;
     call.lastTargetId = target.id;
@@ -99,13 +99,13 @@
       const harm = this.isGroupClosed(target)
         ? 0
         : outcomes.failureScoreOf(outcome);
-      loads.end(target, harm, performance.now());
+      balancer.end(target, harm, performance.now());
     }
     this.context.log.event('requestSent', {
       request: request.head.id,
       target: target.id,
       send: call.sendCount,
-      inFlight: loads.inFlight(target.lifetime),
+      inFlight: balancer.inFlight(target.lifetime),
       outcome: outcome.kind,
       ...outcomes.outcomeFields(outcome),
       ...outcomes.headFields(said),
--- a/src/forwarding/slow-ranks.test.ts
+++ b/src/forwarding/slow-ranks.test.ts
@@ -1,5 +1,5 @@
 import type {GroupView} from '../experts/types';
-import {shouldMoveStream} from './slow-ranks';
+import {shouldMove} from './slow-ranks';
 
 const SLOTS = 6;
 
@@ -10,14 +10,14 @@
 describe('streams on slow ranks', () => {
   it('leave a rank that is far slower than the others, and only that', () => {
     const view = viewOf([4, 3, 2], [{rank: 1, slowness: 12}]);
-    expect(shouldMoveStream(view, 1, SLOTS)).toBe(true);
-    expect(shouldMoveStream(view, 0, SLOTS)).toBe(false);
-    expect(shouldMoveStream(view, undefined, SLOTS)).toBe(false);
+    expect(shouldMove(view, 1, SLOTS)).toBe(true);
+    expect(shouldMove(view, 0, SLOTS)).toBe(false);
+    expect(shouldMove(view, undefined, SLOTS)).toBe(false);
   });
 
   it('stay where a move costs more than it brings', () => {
     const view = viewOf([4, 3, 2], [{rank: 1, slowness: 1.6}]);
-    expect(shouldMoveStream(view, 1, SLOTS)).toBe(false);
+    expect(shouldMove(view, 1, SLOTS)).toBe(false);
   });
 
   it('stay where the other ranks have no room for them', () => {
@@ -25,7 +25,7 @@
       {rank: 0, slowness: 12},
       {rank: 1, slowness: 12},
     ];
-    expect(shouldMoveStream(viewOf([2, 2, 2], slow), 1, SLOTS)).toBe(true);
-    expect(shouldMoveStream(viewOf([2, 3, 2], slow), 1, SLOTS)).toBe(false);
+    expect(shouldMove(viewOf([2, 2, 2], slow), 1, SLOTS)).toBe(true);
+    expect(shouldMove(viewOf([2, 3, 2], slow), 1, SLOTS)).toBe(false);
   });
 });
--- a/src/forwarding/slow-ranks.ts
+++ b/src/forwarding/slow-ranks.ts
@@ -14,7 +14,7 @@
 const MIN_MOVE_SLOWNESS = 2;
 
 /** True where a stream on a rank should go on at another one. */
-export function shouldMoveStream(
+export function shouldMove(
   view: GroupView,
   rank: number | undefined,
   slots: number,
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -5,7 +5,7 @@
  */
 import * as bodies from '../http/body';
 import * as resets from '../http/resets';
-import {shouldMoveStream} from './slow-ranks';
+import {shouldMove} from './slow-ranks';
 import type {Call} from './call';
 import {EventSplitter} from './event-splitter';
 import * as exchanges from './exchange';
@@ -125,9 +125,7 @@
   private isOnSlowRank(target: Target): boolean {
     const now = performance.now();
     const view = this.context.views.viewOf(target, now);
-    return (
-      view !== undefined && shouldMoveStream(view, target.rank, target.slots)
-    );
+    return view !== undefined && shouldMove(view, target.rank, target.slots);
   }
 
   /**
--- a/src/forwarding/target-finder.ts
+++ b/src/forwarding/target-finder.ts
@@ -77,7 +77,7 @@
     mayWait: boolean,
     place: QueuePosition,
   ): Promise<Result<types.Target, types.Refusal>> {
-    const {targets, balancer: loads, gate} = this.context;
+    const {targets, balancer, gate} = this.context;
     const startedAt = performance.now();
     const waitsUntil = Math.min(
       startedAt + MAX_GROUP_WAIT_MS,
@@ -119,14 +119,14 @@
       const group = groupChoice.chooseGroup(options);
       const chosen =
         group &&
-        loads.choose(
+        balancer.choose(
           group.targets,
           now,
           targets.withPermit(group.targets, now),
         );
       if (chosen !== undefined) {
         // At once: others that wait choose in the same turn of the loop.
-        loads.begin(chosen.lifetime);
+        balancer.begin(chosen.lifetime);
         targets.noteSent(chosen, now);
         return ok(chosen);
       }
--- a/src/forwarding/target-list.ts
+++ b/src/forwarding/target-list.ts
@@ -281,11 +281,11 @@
     if (waits.length === 0 || waits.includes(0)) {
       return undefined;
     }
-    const ms = Math.min(...waits);
+    const waitMs = Math.min(...waits);
     const awake = this.awake(service, now);
     if (awake.length > 0) {
       return {
-        waitMs: ms,
+        waitMs,
         reason: 'limited',
         limitPerSecond: this.totalLimitOf(awake),
       };
@@ -294,7 +294,7 @@
       this.cooldowns.isResting(one.lifetime, now),
     );
     return {
-      waitMs: ms,
+      waitMs,
       reason: isAtRest ? 'resting' : 'returning',
       limitPerSecond: 0,
     };
@@ -302,8 +302,8 @@
 
   /** For a request that leaves the permits to those that go before it. */
   unavailabilityForQueued(service: string, now: number): Unavailability {
-    const perSecond = this.totalLimitOf(this.ofService(service, now));
-    return {waitMs: 0, reason: 'limited', limitPerSecond: perSecond};
+    const limitPerSecond = this.totalLimitOf(this.ofService(service, now));
+    return {waitMs: 0, reason: 'limited', limitPerSecond};
   }
 
   /** Requests a second that some targets have said that they take. */
@@ -334,10 +334,10 @@
     if (this.byService === undefined || now >= this.byServiceUntil) {
       const entries = [...this.listed.values()];
       entries
-        .filter(({expiresAt: goneAt}) => goneAt <= now)
+        .filter(({expiresAt}) => expiresAt <= now)
         .forEach(({target}) => this.drop(target));
       this.byServiceUntil = Math.min(
-        ...[...this.listed.values()].map(({expiresAt: goneAt}) => goneAt),
+        ...[...this.listed.values()].map(({expiresAt}) => expiresAt),
       );
       this.byService = grouping.groupBy(
         this.newestAtAddresses().filter(
--- a/src/requests/entry-forward.ts
+++ b/src/requests/entry-forward.ts
@@ -184,8 +184,8 @@
     hall: target.hall,
     load: target.load,
     loadAgeMs: now - target.loadAt,
-    sentSinceReport: unseen.requests,
-    tokensSentSinceReport: unseen.tokens,
+    unreported: unseen.requests,
+    unreportedTokens: unseen.tokens,
     inFlight: target.inFlight,
     cachedTokens:
       prefix === '' ? 0 : context.prefixes.cachedTokensAt(prefix, target.id),
--- a/src/routing/policy.ts
+++ b/src/routing/policy.ts
@@ -106,7 +106,5 @@
 }
 
 function outstanding(candidate: types.Candidate): number {
-  return (
-    candidate.load.running + candidate.load.queued + candidate.sentSinceReport
-  );
+  return candidate.load.running + candidate.load.queued + candidate.unreported;
 }
--- a/src/routing/score.ts
+++ b/src/routing/score.ts
@@ -47,7 +47,7 @@
 function waitMsOf(candidate: Candidate, cfg: ScoreSettings): number {
   const {load} = candidate;
   const trust = 0.5 ** (candidate.loadAgeMs / cfg.halfLifeMs);
-  const own = Math.max(candidate.sentSinceReport, 0);
+  const own = Math.max(candidate.unreported, 0);
   const seats = Math.max(load.capacity, 1);
   const perRequestMs = Math.max(load.stepMs, 1);
   const running = Math.max(load.running, candidate.inFlight);
@@ -61,7 +61,7 @@
   candidate: Candidate,
   cfg: ScoreSettings,
 ): number {
-  const queued = candidate.load.prefillTokens + candidate.tokensSentSinceReport;
+  const queued = candidate.load.prefillTokens + candidate.unreportedTokens;
   const own = Math.max(request.promptTokens - candidate.cachedTokens, 0);
   return (queued + own) * cfg.prefillMsPerToken;
 }
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -10,8 +10,8 @@
   /** Milliseconds since the load was reported. */
   readonly loadAgeMs: number;
   /** Sent by this entry since the report. */
-  readonly sentSinceReport: number;
-  readonly tokensSentSinceReport: number;
+  readonly unreported: number;
+  readonly unreportedTokens: number;
   /** This entry's requests that are at the target now. */
   readonly inFlight: number;
   /** Prompt tokens that the target is believed to hold. */
