--- a/src/forwarding/call.ts
+++ b/src/forwarding/call.ts
@@ -1,36 +1,35 @@
-/** One caller's request while it is served; it is answered at most once. */
+/** A caller's request while it is served; it is answered at most once. */
 import type * as http from 'node:http';
 import type {Timing} from '../observability/metrics';
 import type {Route} from '../routes/types';
 import type {ForwarderContext} from './forwarder';
 import type {ResponseHead, Refusal, RequestHead} from './types';
 
-/** Stands for requests without a client account. */
+/** Metric label of requests without a client account. */
 const NO_ACCOUNT = 'none';
 
 export class Call {
   head: RequestHead | undefined;
-  /** Monotonic time at which the caller must have its answer. */
+  /** Monotonic time in milliseconds. */
   deadline = Infinity;
   readonly startedAt = performance.now();
-  /** Sends so far, over all targets. */
+  /** Sends to any target so far. */
   sendCount = 0;
   /** Sends that may have run. */
   possibleRunCount = 0;
-  /** Sends that were lost with their connection. */
+  /** Sends whose connection broke before the response was complete. */
   lossCount = 0;
-  /** True where the caller has likely tried before. */
   isLikelyRetry = false;
   lastTargetId = '';
   private route: Route | undefined;
   private readonly abortController = new AbortController();
   private isAnswered = false;
-  /** Milliseconds until the first event; undefined: none came. */
+  /** Milliseconds until the first event; undefined: none yet. */
   private firstEventMs: number | undefined;
   private lastEventAt = 0;
-  /** Longest time without an event after the first. */
+  /** Longest time between two events. */
   private longestPauseMs = 0;
-  /** When that pause ended, in milliseconds since the start. */
+  /** When the longest pause ended, in milliseconds since the start. */
   private longestPauseEndMs = 0;
   private account = NO_ACCOUNT;
 
@@ -38,7 +37,7 @@
     readonly req: http.IncomingMessage,
     readonly res: http.ServerResponse,
     private readonly context: ForwarderContext,
-    private readonly wantsCallerGone: () => boolean,
+    private readonly shouldCloseConnection: () => boolean,
   ) {
     res.once('close', () => {
       if (!res.writableFinished) {
@@ -47,12 +46,12 @@
     });
   }
 
-  /** True where a part of the answer is out. */
+  /** True once the response head was written. */
   get hasSentHead(): boolean {
     return this.res.headersSent;
   }
 
-  /** Aborted when the caller has left. */
+  /** Aborted when the caller disconnects. */
   get signal(): AbortSignal {
     return this.abortController.signal;
   }
@@ -65,7 +64,7 @@
     return this.deadline - performance.now();
   }
 
-  /** What the caller itself has left; a route may allow less. */
+  /** Time until the caller's own deadline; the route's may be earlier. */
   get callerTimeLeftMs(): number {
     const allowedMs = this.head?.timeLeftMs;
     return allowedMs === undefined
@@ -73,19 +72,17 @@
       : this.startedAt + allowedMs - performance.now();
   }
 
-  /** Sets the route and the time that the request may take. */
   setRoute(route: Route, account: string | undefined, timeMs: number): void {
     this.route = route;
     this.account = account ?? NO_ACCOUNT;
     this.deadline = this.startedAt + timeMs;
   }
 
-  /** Notes how a send ended. */
   noteOutcome(mayHaveRun: boolean): void {
     this.possibleRunCount += mayHaveRun ? 1 : 0;
   }
 
-  /** Answers with a refusal or failure of our own. */
+  /** Answers with an error response of the entry. */
   refuse(refusal: Refusal): void {
     if (this.isAnswered || this.isCallerGone) {
       this.end('caller-left');
@@ -106,7 +103,7 @@
     this.end('why' in refusal ? refusal.why : refusal.kind, made.status);
   }
 
-  /** Passes a target's whole answer on. */
+  /** Passes on a target's complete response. */
   forwardResponse(head: ResponseHead, body: Buffer): void {
     if (this.isAnswered || this.isCallerGone) {
       this.end('caller-left');
@@ -114,7 +111,7 @@
     }
     this.isAnswered = true;
     this.res.writeHead(head.status, [
-      ...withoutLength(head.forwardedHeaders),
+      ...withoutLength(head.passedHeaders),
       'Content-Length',
       String(body.length),
       ...this.connectionHeaders(false),
@@ -123,17 +120,17 @@
     this.end('answered', head.status);
   }
 
-  /** Begins to pass a stream on. */
+  /** Writes the head of a stream's response. */
   beginStream(head: ResponseHead): void {
     this.isAnswered = true;
     this.recordTiming('first_token');
     this.res.writeHead(head.status, [
-      ...withoutLength(head.forwardedHeaders),
+      ...withoutLength(head.passedHeaders),
       ...this.connectionHeaders(false),
     ]);
   }
 
-  /** Notes that events of a stream have come. */
+  /** Records the arrival of stream events. */
   noteEvents(): void {
     const now = performance.now();
     if (this.firstEventMs === undefined) {
@@ -145,7 +142,7 @@
     this.lastEventAt = now;
   }
 
-  /** Notes the end in log and metrics. */
+  /** Records the end in log and metrics. */
   end(outcome: string, status?: number): void {
     const {log, metrics} = this.context;
     const ms = Math.round(performance.now() - this.startedAt);
@@ -168,7 +165,7 @@
     });
   }
 
-  /** What made the answer come later than its route aims at. */
+  /** Which objective of its route the response missed; undefined: none. */
   private lateness(wholeMs: number): 'first-event' | 'pause' | undefined {
     const {route} = this;
     if (route === undefined || route.objectiveMs === 0) {
@@ -193,14 +190,14 @@
         };
   }
 
-  /** Whatever happened, the connection ends where nothing was answered. */
+  /** Closes the connection if nothing was answered. */
   close(): void {
     if (!this.res.headersSent && !this.isCallerGone) {
       this.res.destroy();
     }
   }
 
-  /** Notes the time since the start, by client account and kind of route. */
+  /** Records the time since the start, by client account and kind of route. */
   private recordTiming(timing: Timing): void {
     const ms = performance.now() - this.startedAt;
     const kind = this.route?.kind ?? 'no-route';
@@ -208,7 +205,9 @@
   }
 
   private connectionHeaders(mustClose: boolean): string[] {
-    return mustClose || this.wantsCallerGone() ? ['Connection', 'close'] : [];
+    return mustClose || this.shouldCloseConnection()
+      ? ['Connection', 'close']
+      : [];
   }
 }
 
--- a/src/forwarding/event-splitter.ts
+++ b/src/forwarding/event-splitter.ts
@@ -1,21 +1,20 @@
 /**
- * Cuts a stream of server-sent events into whole events without changing a
- * byte, so that a stream that breaks off never ends within an event.
- * Source: WHATWG HTML, section 9.2.
+ * Splits a stream of server-sent events into complete events, byte for byte, so
+ * that a stream never ends within an event. Expects lines that end in LF or
+ * CRLF. Source: WHATWG HTML, section 9.2.
  */
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
-/** Cap on one event. */
 const MAX_EVENT_BYTES = 1024 * 1024;
 
 export class EventSplitter {
-  /** Id of the last whole event that had one. */
+  /** Id of the last complete event that had one. */
   lastId: string | undefined;
-  /** Whole events so far. */
+  /** Complete events so far. */
   count = 0;
   private pending: Buffer = Buffer.alloc(0);
 
-  /** Bytes that belong to an event that is not whole yet. */
+  /** Bytes of an event that is not complete yet. */
   get partial(): Buffer {
     return this.pending;
   }
@@ -24,12 +23,12 @@
     return this.pending.length > MAX_EVENT_BYTES;
   }
 
-  /** Drops the event that broke off; another target sends it whole. */
+  /** Drops the incomplete event; another target sends it again. */
   discardPartial(): void {
     this.pending = Buffer.alloc(0);
   }
 
-  /** Takes a chunk; answers the whole events in it, in their own bytes. */
+  /** Adds a chunk; returns the bytes of all events that are now complete. */
   push(chunk: Buffer): Buffer {
     const all =
       this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
--- a/src/forwarding/exchange.ts
+++ b/src/forwarding/exchange.ts
@@ -1,4 +1,4 @@
-/** Sending a request to one target, once, and judging what comes back. */
+/** Sends a request to one target, once, and classifies the outcome. */
 import type * as http from 'node:http';
 import * as bodies from '../http/body';
 import * as httpClient from '../http/client';
@@ -11,36 +11,30 @@
   Wire,
 } from './types';
 
-/** Cap on an answer that is read whole. */
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
-/**
- * Milliseconds until a new connection must be up: some round trips within a
- * region, and well under the second after which an opening packet is sent
- * again.
- */
+/** Shorter than TCP's first SYN retransmission, which comes after a second. */
 const CONNECT_TIMEOUT_MS = 400;
 
-/** Statuses that promise that nothing ran. */
+/** Statuses by which a server states that it did not run the request. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 /** How a send ended. */
 export type Outcome =
-  /** A whole answer of the target to this request. */
+  /** The target's complete response to this request. */
   | {readonly kind: 'answered'; readonly head: ResponseHead; body: Buffer}
-  /** The head of a stream; its events follow. */
+  /** The head of a stream; its events are still to be read. */
   | {
       readonly kind: 'streaming';
       readonly head: ResponseHead;
       readonly res: http.IncomingMessage;
     }
-  /** Certainly not run: the target says so, or nothing was sent. */
+  /** Certainly not run: the target says so, or no connection was made. */
   | {readonly kind: 'not-run'; readonly status: number | undefined}
   /** It may have run. */
   | {readonly kind: 'unknown'; readonly why: FailureReason}
   | {readonly kind: 'timed-out'; readonly sent: boolean}
   | {readonly kind: 'cancelled'};
 
-/** One send. */
 export interface SendOptions {
   readonly agent: http.Agent;
   readonly target: Target;
@@ -48,37 +42,37 @@
   readonly body: Buffer | undefined;
   readonly metadata: RequestMetadata;
   readonly isStream: boolean;
-  /** Monotonic time at which the caller must have its answer. */
+  /** Monotonic time in milliseconds by which the caller must be answered. */
   readonly deadline: number;
-  /** Aborted when the caller has left. */
+  /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal;
   /**
-   * Hears what the target says before its body, whatever becomes of the answer:
-   * also one that is thrown away tells how the target is.
+   * Called with the head of every response, also of one that is then discarded:
+   * it still tells the target's state.
    */
   onHead(head: ResponseHead): void;
 }
 
-/** Sends a request and reads the answer, or a stream's head. */
+/** Sends a request and reads the whole response, or a stream's head. */
 export async function exchange(
   wire: Wire,
   send: SendOptions,
 ): Promise<Outcome> {
-  const leftMs = send.deadline - performance.now();
-  const answer = await httpClient.send(send.agent, {
+  const timeLeftMs = send.deadline - performance.now();
+  const response = await httpClient.send(send.agent, {
     address: send.target.address,
     method: send.head.method,
     path: send.head.path,
     headers: wire.targetHeaders(send.head, send.metadata),
     body: send.body,
-    timeoutMs: leftMs,
+    timeoutMs: timeLeftMs,
     connectMs: CONNECT_TIMEOUT_MS,
     signal: send.signal,
   });
-  if (!answer.ok) {
-    return outcomeOfError(answer.error);
+  if (!response.ok) {
+    return outcomeOfError(response.error);
   }
-  const res = answer.value;
+  const res = response.value;
   const head = wire.readResponse(res);
   send.onHead(head);
   if (head.requestId !== send.head.id) {
@@ -101,9 +95,9 @@
   head: ResponseHead,
   res: http.IncomingMessage,
 ): Promise<Outcome> {
-  let isLate = false;
+  let isTimedOut = false;
   const timer = setTimeout(() => {
-    isLate = true;
+    isTimedOut = true;
     res.destroy();
   }, send.deadline - performance.now());
   const read = await bodies.readBody(res, MAX_BODY_BYTES);
@@ -111,7 +105,7 @@
   if (send.signal.aborted) {
     return {kind: 'cancelled'};
   }
-  if (isLate) {
+  if (isTimedOut) {
     return {kind: 'timed-out', sent: true};
   }
   if (head.isNotRun) {
@@ -122,7 +116,7 @@
     return {kind: 'unknown', why: 'broken-answer'};
   }
   if (NOT_RUN_STATUSES.has(head.status)) {
-    // Passed on, it would promise what the target did not say.
+    // Passed on, it would state that nothing ran, without the target's proof.
     return {kind: 'unknown', why: 'unproven-refusal'};
   }
   return {kind: 'answered', head, body: read.value};
--- a/src/forwarding/forwarder.ts
+++ b/src/forwarding/forwarder.ts
@@ -1,6 +1,6 @@
 /**
- * Serves callers' requests: finds the route, checks the key, sends the
- * request to a target, again where that is allowed, and answers once.
+ * Serves callers' requests: finds the route, checks the key, forwards the
+ * request to a target and retries where the route allows it.
  */
 import type * as http from 'node:http';
 import type {CrashExchange} from '../crashes/crash-exchange';
@@ -26,7 +26,7 @@
 import {TargetList} from './target-list';
 import * as types from './types';
 
-/** What serving a request needs. */
+/** Dependencies of request forwarding. */
 export interface ForwarderContext {
   readonly cfg: SiteSettings;
   readonly wire: types.Wire;
@@ -38,34 +38,28 @@
   readonly reach: Reach;
   readonly connections: TargetConnections;
   readonly crashes: CrashExchange;
-  /** Entries of the site that are known, this one among them. */
+  /** Known entries of the site, including this one. */
   knownEntryCount(): number;
-  /** Resolves once requests can be routed somewhere, or after the wait. */
+  /** Resolves once requests can be routed, or after `waitMs`. */
   whenRoutable(waitMs: number): Promise<void>;
-  /** Callers are better served by another entry. */
+  /** True if callers should connect to another entry. */
   isIsolated(): boolean;
   readonly log: Log;
   readonly metrics: Metrics;
 }
 
 /**
- * Part of the time that a revoked key may still work for which an entry
- * trusts keys without hearing from the store. The rest covers the way to the
- * target.
+ * Share of the revocation time during which keys are accepted without contact
+ * to the store; the remainder covers the request's way to the target.
  */
 const KEY_TRUST_SHARE = 0.85;
 /**
- * Milliseconds without the store after which an unknown route or key may
- * just be a new one, and the caller is asked to come back.
+ * Configuration age above which an unknown route or key may be a new one, so
+ * that the caller is asked to retry.
  */
 const STALE_CONFIGURATION_MS = 2_400;
-/** When to come back where there is no configuration to decide with. */
 const NO_CONFIGURATION_RETRY_MS = 500;
-/**
- * Longest wait of a request for what a process that has just started lacks, in
- * milliseconds. A caller who is refused instead comes back later and has spent a
- * try.
- */
+/** Maximum wait of a request for a starting entry to become able to route. */
 const STARTUP_WAIT_MS = 350;
 const DEFAULT_TIME_LEFT_MS = 60_000;
 
@@ -84,17 +78,16 @@
     this.streams = new StreamRelay(context, budgetOf, finder);
   }
 
-  /** Requests that are being served. */
   get openCount(): number {
     return this.openRequests;
   }
 
-  /** From now on every answer asks the caller to leave the connection. */
+  /** From now on every response asks the caller to close the connection. */
   stop(): void {
     this.isStopping = true;
   }
 
-  /** Serves one request. */
+  /** Serves one request; resolves when it has ended. */
   async handle(
     req: http.IncomingMessage,
     res: http.ServerResponse,
@@ -114,7 +107,10 @@
   private async serve(call: Call): Promise<void> {
     const head = this.context.wire.readRequest(call.req);
     if (head === undefined) {
-      call.refuse({kind: 'bad-request', detail: 'the request names no id'});
+      call.refuse({
+        kind: 'bad-request',
+        detail: 'the request has no request id or no Host header',
+      });
       return;
     }
     call.head = head;
@@ -157,7 +153,7 @@
     await relay.relay(call, request);
   }
 
-  /** Undefined where the request was refused. */
+  /** Finds route and client account; undefined if the request was refused. */
   private route(
     call: Call,
     head: types.RequestHead,
@@ -201,7 +197,6 @@
     return {route, account};
   }
 
-  /** Callers that hold a connection here are better served elsewhere. */
   private shouldCloseConnections(): boolean {
     return this.isStopping || this.context.isIsolated();
   }
--- a/src/forwarding/group-choice.ts
+++ b/src/forwarding/group-choice.ts
@@ -1,36 +1,34 @@
 /**
- * Which of a service's groups takes a request. Each group has passes of its
- * own, and so its own room: one that is full, or has just opened, says nothing
- * of the others. Pure.
+ * Chooses the group of a service that gets a request. Each group has its own
+ * passes and so its own capacity, whatever the state of the others. Pure.
  */
 import * as grouping from '../grouping';
 import * as random from '../random';
 import type {GroupCapacity} from './group-views';
 import type {Target} from './types';
 
-/** The targets of a service that belong together. */
+/** The targets of one group of a service. */
 export interface TargetGroup {
-  /** Undefined: targets that are in no group. */
+  /** Undefined: targets without a group. */
   readonly name: string | undefined;
   readonly targets: readonly Target[];
 }
 
-/** A group that may take a request. */
 export interface GroupOption extends TargetGroup {
-  /** Undefined: it has no limit of its own. */
+  /** Undefined: no limit of its own. */
   readonly capacity: GroupCapacity | undefined;
 }
 
-/** Targets by their group, in the order in which groups come first. */
+/** Targets by group, in the order in which groups first appear. */
 export function groupsOf(targets: readonly Target[]): TargetGroup[] {
   const groups = grouping.groupBy(targets, target => target.group);
   return [...groups].map(([name, members]) => ({name, targets: members}));
 }
 
 /**
- * A group with room, drawn by how much of it is left: all entries are told the
- * same some tenths of a second late, and the emptiest one would get all of what
- * comes meanwhile. Undefined where none has room.
+ * Draws a group at random, weighted by its free capacity; undefined if none has
+ * any. All entries get the same delayed reports: if each took the emptiest
+ * group, it would be overloaded before the next report.
  */
 export function chooseGroup(
   options: readonly GroupOption[],
@@ -40,14 +38,15 @@
       ? targets.length
       : Math.max(capacity.most - capacity.requests, 0),
   );
-  let left = random.unit() * weights.reduce((sum, weight) => sum + weight, 0);
+  let remaining =
+    random.unit() * weights.reduce((sum, weight) => sum + weight, 0);
   return options.find((_, at) => {
-    left -= weights[at]!;
-    return weights[at]! > 0 && left < 0;
+    remaining -= weights[at]!;
+    return weights[at]! > 0 && remaining < 0;
   });
 }
 
-/** The room that is nearest to being enough, for who is refused. */
+/** The capacity of the group with the lowest load, for the log. */
 export function leastLoaded(
   options: readonly GroupOption[],
 ): GroupCapacity | undefined {
--- a/src/forwarding/group-gate.ts
+++ b/src/forwarding/group-gate.ts
@@ -1,45 +1,43 @@
 /**
- * Groups of ranks that take no requests for the moment. A group in lock-step
- * that has lost a rank refuses everything at every rank until it has formed
- * anew; asking them one after the other only costs tries. So requests stop
- * going there. Sidecars tell when the group opens; while none of them does, one
- * request now and then finds out. Entries that all found out for themselves would
- * spend the retries of all at once.
+ * Tracks which groups of ranks accept requests. A lock-step group that has lost
+ * a rank refuses everything until it has formed again, so requests to it would
+ * only use up retries. Sidecars report when a group opens or closes; without
+ * reports, one request per interval probes a closed group.
  */
 
-/** Two ranks that refuse within this time close a group, in milliseconds. */
+/** Refusals by two ranks within this time close a group. */
 const REFUSAL_WINDOW_MS = 150;
-/** Time between trials of a closed group: some passes. */
+/** Interval between probes of a closed group. */
 const PROBE_INTERVAL_MS = 60;
-/** Without a trial or a word for so long a group counts as open again. */
+/** Without a probe or report for this time a closed group counts as open. */
 const CLOSED_EXPIRY_MS = 1_000;
 /**
- * While a sidecar's word that the group is closed is no older, nothing is sent
- * there to find out: longer than sidecars are silent.
+ * A closed group is not probed for this time after a sidecar reported it as
+ * closed. Longer than the interval between reports.
  */
 const REPORT_VALID_MS = 700;
 
-/** What a sidecar's word changed. */
+/** What a sidecar's report changed. */
 export type ReportEffect = 'opened' | 'closed' | 'known';
 
 interface GroupState {
-  /** The rank that refused last, with none that took a request since. */
+  /** The last rank that refused; no rank has accepted a request since. */
   refusedBy: string;
   refusedAt: number;
   isClosed: boolean;
   closedAt: number;
   probedAt: number;
-  /** When a sidecar last saw that the group is closed. */
+  /** When a sidecar last saw the group closed. */
   reportedClosedAt: number;
   readonly waiters: Set<() => void>;
 }
 
 export class GroupGate {
   private readonly groups = new Map<string, GroupState>();
-  /** When groups were last known to be open. */
+  /** When groups were last seen open. */
   private readonly lastOpenAt = new Map<string, number>();
 
-  /** A rank took a request: the group is open. */
+  /** A rank accepted a request: the group is open. */
   noteAccepted(group: string, now: number): void {
     this.lastOpenAt.set(
       group,
@@ -49,8 +47,8 @@
   }
 
   /**
-   * What a sidecar saw of the group at a time; answers what that changed. Word
-   * that is older than what was learnt by a request is passed over.
+   * Takes what a sidecar saw of the group at the monotonic time `at`. A report
+   * older than what a request's outcome showed is ignored.
    */
   noteReport(group: string, isOpen: boolean, at: number): ReportEffect {
     const state = this.groups.get(group);
@@ -75,7 +73,7 @@
     return closes ? 'closed' : 'known';
   }
 
-  /** True where the group was open at some time since this process began. */
+  /** True if the group has been open since this process started. */
   hasBeenOpen(group: string): boolean {
     return this.lastOpenAt.has(group);
   }
@@ -88,7 +86,7 @@
     }
   }
 
-  /** A rank refused a request. True where that closed the group. */
+  /** A rank refused a request. True if that closed the group. */
   noteRefused(group: string, rank: string, now: number): boolean {
     const state = this.groups.get(group);
     if (state === undefined) {
@@ -108,7 +106,7 @@
     return closes;
   }
 
-  /** Milliseconds for which a group has been closed; 0: it is open. */
+  /** Milliseconds since the group closed; 0: it is open. */
   closedMs(group: string | undefined, now: number): number {
     const state = group === undefined ? undefined : this.groups.get(group);
     if (state === undefined || !state.isClosed) {
@@ -124,7 +122,7 @@
     return Math.max(now - state.closedAt, 1);
   }
 
-  /** True where a request may go to the group; a closed one's trial is noted. */
+  /** True if a request may be sent to the group; records a probe if closed. */
   tryEnter(group: string | undefined, now: number): boolean {
     if (this.closedMs(group, now) === 0) {
       return true;
@@ -141,8 +139,8 @@
   }
 
   /**
-   * Resolves when the group opens, the next trial is due, or at abort;
-   * without a group after the time between trials.
+   * Resolves when the group opens, after the probe interval or at abort; without
+   * a group after the interval or at abort.
    */
   waitForOpenOrProbe(
     group: string | undefined,
@@ -163,7 +161,6 @@
   }
 }
 
-/** A group of which a rank has refused, or nothing is known but that. */
 function newState(rank: string, now: number): GroupState {
   return {
     refusedBy: rank,
--- a/src/forwarding/load-balancer.ts
+++ b/src/forwarding/load-balancer.ts
@@ -1,38 +1,38 @@
 /**
- * Choosing a target by what this entry sees itself, its own requests in
- * flight and how recent ones ended, and by what sidecars tell of ranks.
- * Nothing is asked of a target for it.
+ * Chooses the target with the lowest score, from this entry's requests in
+ * flight, their recent outcomes and the loads that sidecars report. Targets
+ * are never queried for it.
  */
 import * as random from '../random';
 import type {Target} from './types';
 
-/** Weight of the newest outcome in a target's share of failures. */
+/** Weight of the newest outcome in a target's moving failure share. */
 const TARGET_OUTCOME_WEIGHT = 0.5;
-/** And in the share of all targets of its service. */
+/** Weight of the newest outcome in a service's moving failure share. */
 const SERVICE_OUTCOME_WEIGHT = 0.02;
 /**
- * A share of failures beyond the service's usual one counts like this many
- * requests in flight: what fails at once always looks idle.
+ * Requests in flight that equal a failure share of 1 above the service's: a
+ * target that fails immediately always looks idle.
  */
 const FAILURE_WEIGHT = 24;
-/** A share of failures is halved in this time, in milliseconds. */
+/** Half-life of a target's failure share. */
 const HALF_LIFE_MS = 8_000;
 /**
- * Places that a rank's slowness costs: each request there lengthens the passes
- * of all ranks by its slowness.
+ * Requests in flight that equal one unit of slowness above 1: each request on
+ * a slow rank lengthens the passes of all ranks of its group.
  */
 const SLOWNESS_WEIGHT = 8;
 /**
- * Places for which a permit makes up, to send to a target that has named a
- * limit: unused it is lost, and with it the little that the target takes.
+ * Requests in flight that a held permit offsets: permits expire, and an unused
+ * one wastes a part of the target's rate limit.
  */
 const PERMIT_BONUS = 2;
-/** Places that another hall costs: a hop is little beside a request. */
+/** Requests in flight that equal the hop to another hall. */
 const OTHER_HALL_PENALTY = 0.4;
 
 /**
- * Requests that this entry sends to a target at most, in its slots. A target
- * queues more, but there they wait longer than callers do.
+ * Maximum requests in flight from this entry to a target, per slot. More would
+ * queue at the target for longer than callers wait.
  */
 const MAX_REQUESTS_PER_SLOT = 1.5;
 
@@ -42,11 +42,11 @@
   updatedAt: number;
 }
 
-/** What others tell of a target. */
+/** Loads of targets as reported by others. */
 export interface LoadReports {
-  /** How many times as long as it should its work takes. */
+  /** Actual over expected duration of its work. */
   slownessOf(target: Target, now: number): number;
-  /** Requests of all entries there; undefined: not told. */
+  /** Requests of all entries at the target; undefined: not reported. */
   requestsAt(target: Target, now: number): number | undefined;
 }
 
@@ -56,15 +56,15 @@
 };
 
 /**
- * Targets that are compared where news of them is shared. All entries are told
- * the same, some tenths of a second late, and whoever compares many finds the
- * same few idle ones as all others.
+ * Targets compared where loads are reported. All entries get the same reports
+ * with the same delay: comparing all targets, they would all choose the same
+ * few idle ones.
  */
 const SAMPLE_SIZE = 4;
 
 export class LoadBalancer {
   private readonly records = new Map<string, TargetRecord>();
-  /** Share of the requests of a service that fail, whoever serves them. */
+  /** Moving failure share over all targets, by service. */
   private readonly serviceFailureShares = new Map<string, number>();
 
   constructor(
@@ -72,22 +72,22 @@
     private readonly reports: LoadReports = NO_REPORTS,
   ) {}
 
-  /** Notes that a request goes to a lifetime of a target. */
+  /** Counts a request in flight to a lifetime of a target. */
   begin(lifetime: string): void {
     this.recordOf(lifetime).inFlight += 1;
   }
 
-  /** Notes how it ended: `harm` is 0 where well, 1 where it failed. */
-  end(target: Target, harm: number, now: number): void {
+  /** Records its end; `failure` is 0 for success, 1 for failure. */
+  end(target: Target, failure: number, now: number): void {
     const record = this.recordOf(target.lifetime);
     record.inFlight -= 1;
-    const failing = decayedFailureShare(record, now);
-    record.failureShare = failing + TARGET_OUTCOME_WEIGHT * (harm - failing);
+    const share = decayedFailureShare(record, now);
+    record.failureShare = share + TARGET_OUTCOME_WEIGHT * (failure - share);
     record.updatedAt = now;
-    const usual = this.serviceFailureShares.get(target.service) ?? 0;
+    const serviceShare = this.serviceFailureShares.get(target.service) ?? 0;
     this.serviceFailureShares.set(
       target.service,
-      usual + SERVICE_OUTCOME_WEIGHT * (harm - usual),
+      serviceShare + SERVICE_OUTCOME_WEIGHT * (failure - serviceShare),
     );
   }
 
@@ -95,18 +95,21 @@
     return this.records.get(lifetime)?.inFlight ?? 0;
   }
 
-  /** The target with the lowest score; undefined where none has room. */
+  /**
+   * The target with the lowest score; undefined if all are full. `permitted`:
+   * rate-limited ones to which a permit is held.
+   */
   choose(
     targets: readonly Target[],
     now: number,
-    lent: readonly Target[] = [],
+    permitted: readonly Target[] = [],
   ): Target | undefined {
     let best: Target | undefined;
     let bestScore = Infinity;
     const free = targets.filter(target => this.hasRoom(target));
-    const freeLent = lent.filter(target => this.hasRoom(target));
-    for (const target of [...freeLent, ...this.candidatesOf(free, now)]) {
-      const bonus = lent.includes(target) ? PERMIT_BONUS : 0;
+    const freePermitted = permitted.filter(target => this.hasRoom(target));
+    for (const target of [...freePermitted, ...this.candidatesOf(free, now)]) {
+      const bonus = permitted.includes(target) ? PERMIT_BONUS : 0;
       const score = this.score(target, now) - bonus + random.unit() * TIE_BREAK;
       if (score < bestScore) {
         best = target;
@@ -120,7 +123,7 @@
     return this.inFlight(lifetime) < slots * MAX_REQUESTS_PER_SLOT;
   }
 
-  /** Forgets lifetimes that are gone and have nothing in flight. */
+  /** Drops unknown lifetimes that have nothing in flight. */
   retain(isKnown: (lifetime: string) => boolean): void {
     for (const [lifetime, record] of this.records) {
       if (record.inFlight === 0 && !isKnown(lifetime)) {
@@ -129,27 +132,27 @@
     }
   }
 
-  /** All targets, or some drawn at random where news of them is shared. */
+  /** A random sample where loads are reported, all targets otherwise. */
   private candidatesOf(
     targets: readonly Target[],
     now: number,
   ): readonly Target[] {
     const [first] = targets;
-    const isShared =
+    const isReported =
       first !== undefined && this.reports.requestsAt(first, now) !== undefined;
-    return isShared ? random.sample(targets, SAMPLE_SIZE) : targets;
+    return isReported ? random.sample(targets, SAMPLE_SIZE) : targets;
   }
 
   private score(target: Target, now: number): number {
     const record = this.records.get(target.lifetime);
     const inFlight =
       this.reports.requestsAt(target, now) ?? record?.inFlight ?? 0;
-    const usual = this.serviceFailureShares.get(target.service) ?? 0;
+    const serviceShare = this.serviceFailureShares.get(target.service) ?? 0;
     const share = record === undefined ? 0 : decayedFailureShare(record, now);
-    const failing = Math.max(share - usual, 0);
+    const excessFailures = Math.max(share - serviceShare, 0);
     const hop = target.hall === this.hall ? 0 : OTHER_HALL_PENALTY;
     const slow = (this.reports.slownessOf(target, now) - 1) * SLOWNESS_WEIGHT;
-    return inFlight + hop + slow + failing * FAILURE_WEIGHT;
+    return inFlight + hop + slow + excessFailures * FAILURE_WEIGHT;
   }
 
   private recordOf(lifetime: string): TargetRecord {
@@ -162,7 +165,7 @@
   }
 }
 
-/** Less than any real difference between scores. */
+/** Upper bound of the random part that decides between equal scores. */
 const TIE_BREAK = 0.1;
 
 function decayedFailureShare(record: TargetRecord, now: number): number {
--- a/src/forwarding/relay.ts
+++ b/src/forwarding/relay.ts
@@ -57,14 +57,14 @@
     call: Call,
     request: RelayedRequest,
     target: types.Target,
-    resumeAfter?: string,
+    resumeAfterEventId?: string,
   ): Promise<exchanges.Outcome> {
     const {balancer, connections, wire} = this.context;
     const mayRepeat = types.isRetrySafe(request.route);
     call.sendCount += 1;
     call.lastTargetId = target.id;
     const sentAt = performance.now();
-    let said: types.ResponseHead | undefined;
+    let responseHead: types.ResponseHead | undefined;
     const outcome = await exchanges.exchange(wire, {
       agent: mayRepeat ? connections.kept : connections.fresh,
       target,
@@ -74,20 +74,20 @@
         targetId: target.id,
         timeLeftMs: call.timeLeftMs,
         account: request.account?.name,
-        resumeAfterEventId: resumeAfter,
+        resumeAfterEventId,
       },
       isStream: request.route.kind === 'stream',
       deadline: call.deadline,
       signal: call.signal,
       onHead: head => {
-        said = head;
+        responseHead = head;
         this.observer.noteHead(target, head, sentAt);
       },
     });
     if (outcomes.hasResponded(outcome)) {
       this.context.reach.note();
     }
-    this.observer.noteOutcome(target, outcome, said, sentAt);
+    this.observer.noteOutcome(target, outcome, responseHead, sentAt);
     call.noteOutcome(outcomes.mayHaveRun(outcome));
     if (outcomes.isLost(outcome)) {
       this.noteLost(call, request, target);
@@ -108,7 +108,7 @@
       inFlight: balancer.inFlight(target.lifetime),
       outcome: outcome.kind,
       ...outcomes.outcomeFields(outcome),
-      ...outcomes.headFields(said),
+      ...outcomes.headFields(responseHead),
     });
     return outcome;
   }
--- a/src/forwarding/retry-delays.ts
+++ b/src/forwarding/retry-delays.ts
@@ -1,36 +1,32 @@
 /**
- * When callers who are refused should come back, in milliseconds. They heed no
- * more than a third of the time that they have left, and many have one more try
- * only, so a time at which they can't be served either costs them the answer.
- * Pure.
+ * Delays in milliseconds after which refused callers are asked to retry.
+ * Callers honour at most a third of their time left, and many have only one
+ * attempt left: a delay that ends too early costs them the answer. Pure.
  */
 import * as random from '../random';
 import * as rests from '../targets/rest';
 
 /** Where no target of the service is known. */
 export const NO_TARGET_DELAY_MS = 300;
-/** Where all have enough to do: about the time of a stream. */
+/** Where all targets are overloaded: about the duration of a stream. */
 const OVERLOADED_DELAY_MS = 1_600;
-/**
- * Where a target was full: a part of the time left, and no longer than a group
- * takes to form.
- */
+/** Where a target was full: share of the time left, capped below. */
 const FULL_DELAY_SHARE = 0.25;
 const MAX_FULL_DELAY_MS = 1_000;
-/** Part of the time left after which callers may be asked to come back. */
+/** Maximum delay as a share of the time left. */
 const MAX_DELAY_SHARE = 0.3;
-/** Part of that in which callers who can't be told a time are spread. */
+/** Lower bound of the random share of the maximum delay. */
 const MIN_JITTER_SHARE = 0.75;
-/** What a group may take longer to form than its engine states. */
+/** Added to the time that a group is stated to need to form. */
 const FORM_MARGIN_MS = 250;
 
-/** What is known of a group that takes nothing. */
+/** A group that accepts no requests. */
 export interface ClosedGroup {
-  /** Milliseconds since it was found closed. */
+  /** Milliseconds since it closed. */
   readonly closedMs: number;
-  /** Milliseconds that its ranks take to form, once all are there. */
+  /** Milliseconds that its ranks need to form once all are present. */
   readonly formMs: number;
-  /** It was open at some time since this process began. */
+  /** It has been open since this process started. */
   readonly hasBeenOpen: boolean;
 }
 
@@ -43,39 +39,38 @@
 }
 
 /**
- * Where all targets have asked for rest, the first of them for so long: after it,
- * or as late as the caller heeds, never together.
+ * Where all targets are in cooldown, the first for `cooldownMs`: after it, at
+ * most as late as the caller honours, with jitter.
  */
-export function afterCooldown(restMs: number, leftMs: number): number {
+export function afterCooldown(cooldownMs: number, leftMs: number): number {
   return Math.min(
-    rests.spreadReturn(restMs),
+    rests.spreadReturn(cooldownMs),
     maxDelayMs(leftMs) * jitterShare(),
   );
 }
 
 /**
- * Where all targets are at the limits that they have named: at the caller's place
- * in the line of those that come back, or as late as it heeds, never together.
+ * Where all targets are at their rate limits: at the caller's scheduled retry,
+ * at most as late as it honours, with jitter.
  */
-export function afterLimit(lineMs: number, leftMs: number): number {
-  return Math.min(lineMs, maxDelayMs(leftMs) * jitterShare());
+export function afterLimit(scheduledMs: number, leftMs: number): number {
+  return Math.min(scheduledMs, maxDelayMs(leftMs) * jitterShare());
 }
 
-/** Where nothing helps the caller: as late as it heeds. */
+/** Where the request crashes targets: as late as the caller honours. */
 export function afterCrashes(leftMs: number): number {
   return maxDelayMs(leftMs) * jitterShare();
 }
 
 /**
- * A group that has lost a rank opens when it has formed, and later than that
- * nobody knows when. One that has not been open since this process began may
- * be without all of its ranks: the whole site is coming back, and callers who
- * have one more try should not spend it early.
+ * Where the group is closed: when it should have formed again. If that time has
+ * passed, or the group has not been open since this process started (it may
+ * lack ranks after an outage of the site), as late as the caller honours.
  */
 export function afterGroupClosed(group: ClosedGroup, leftMs: number): number {
-  const openIn = group.formMs + FORM_MARGIN_MS - group.closedMs;
-  if (openIn > 0 && group.hasBeenOpen) {
-    return Math.min(openIn, maxDelayMs(leftMs));
+  const opensInMs = group.formMs + FORM_MARGIN_MS - group.closedMs;
+  if (opensInMs > 0 && group.hasBeenOpen) {
+    return Math.min(opensInMs, maxDelayMs(leftMs));
   }
   return maxDelayMs(leftMs) * jitterShare();
 }
--- a/src/forwarding/retry-detector.ts
+++ b/src/forwarding/retry-detector.ts
@@ -1,19 +1,19 @@
 /**
- * Tells a caller's later tries from its first. Callers say how long they will
- * wait; who has tried before has less time left than others on the route.
+ * Detects callers' retries: a caller that has already tried states less time
+ * left than other callers of the same route. Errors are possible both ways.
  */
 
-/** A caller that is this much shorter of time has tried before. */
+/** Difference in time left above which a request counts as a retry. */
 const MIN_DIFFERENCE_MS = 250;
 
-/** Beyond that all are learnt anew: routes come and go. */
+/** Routes remembered before all are dropped and learnt again. */
 const MAX_ROUTES = 8_192;
 
 export class RetryDetector {
-  /** Longest time that callers of a route wait, by the route's name. */
+  /** Longest time left seen, by the route's name. */
   private readonly maxTimeLeftMs = new Map<string, number>();
 
-  /** Notes a request and tells whether its caller has likely tried before. */
+  /** Records a request; true if it is likely a retry. Times in milliseconds. */
   isLikelyRetry(route: string, timeLeftMs: number, timeoutMs: number): boolean {
     if (this.maxTimeLeftMs.size >= MAX_ROUTES) {
       this.maxTimeLeftMs.clear();
--- a/src/forwarding/target-connections.ts
+++ b/src/forwarding/target-connections.ts
@@ -1,20 +1,19 @@
 /**
- * Connections to targets. A kept connection that says anything while it is
- * idle is closed: the bytes belong to no request. It is also closed well
- * before its target would close it, so that no request crosses that.
+ * HTTP agents for connections to targets. An idle connection is closed when it
+ * receives data, which belongs to no request, and well before the target's own
+ * idle timeout, so that no request races with the target's close.
  */
 import * as http from 'node:http';
 import type * as net from 'node:net';
 
-/** Idle connections kept to one target. */
+/** Idle connections kept per target. */
 const MAX_IDLE_CONNECTIONS = 32;
-/** Longest idle time where the target names none, in milliseconds. */
+/** Idle timeout if the target states none. */
 const DEFAULT_IDLE_TIMEOUT_MS = 4_000;
-/** Part of the target's own idle time that is used. */
+/** Share of the target's idle timeout after which a connection is closed. */
 const IDLE_TIMEOUT_SHARE = 0.7;
 const SECOND_MS = 1_000;
 
-/** Keeps connections for the next request. */
 class KeepAliveAgent extends http.Agent {
   private readonly onIdleData = new WeakMap<net.Socket, () => void>();
 
@@ -27,13 +26,13 @@
   }
 
   keepSocketAlive(socket: net.Socket): boolean {
-    const hint = keepAliveSecondsOf(socket);
+    const seconds = keepAliveSecondsOf(socket);
     socket.setKeepAlive(true, SECOND_MS);
     socket.unref();
     const idleMs =
       hint === undefined
         ? DEFAULT_IDLE_TIMEOUT_MS
-        : hint * SECOND_MS * IDLE_TIMEOUT_SHARE;
+        : seconds * SECOND_MS * IDLE_TIMEOUT_SHARE;
     if (idleMs <= 0) {
       return false;
     }
@@ -54,7 +53,7 @@
   }
 }
 
-/** Seconds that the target keeps an idle connection, from its last answer. */
+/** Idle timeout in seconds from the Keep-Alive header of the last response. */
 function keepAliveSecondsOf(socket: net.Socket): number | undefined {
   const last = (socket as {_httpMessage?: {res?: http.IncomingMessage}})
     ._httpMessage;
@@ -64,13 +63,12 @@
   return seconds === undefined ? undefined : Number(seconds);
 }
 
-/** The connections of an entry to its targets. */
 export class TargetConnections {
-  /** For requests that may be repeated. */
+  /** For requests that may be repeated: reuses connections. */
   readonly kept: http.Agent = new KeepAliveAgent();
   /**
-   * For requests that may not: a connection of their own meets neither a
-   * late answer to another request nor a close that crosses it.
+   * For requests that may not: a new connection each, which carries no late
+   * response to another request and is not being closed by the target.
    */
   readonly fresh: http.Agent = new http.Agent({keepAlive: false});
 
--- a/src/forwarding/types.ts
+++ b/src/forwarding/types.ts
@@ -1,4 +1,4 @@
-/** What forwarding a request deals in, whatever is spoken on the wire. */
+/** Types of request forwarding, independent of the protocol's header names. */
 import type * as http from 'node:http';
 import type {RestAsked} from '../http/retry-after';
 import type {LimitNamed} from '../http/server-limit';
@@ -7,109 +7,107 @@
 
 /** A process that serves requests of a service. */
 export interface Target {
-  /** Names the process; it may start again under the same id. */
+  /** Identifies the process; it may restart under the same id. */
   readonly id: string;
   /**
-   * Names one lifetime of the process, by its id and its start. Whatever is
-   * learnt of a target or sent to it belongs to a lifetime: the next one knows
-   * and holds nothing of it.
+   * Identifies one run of the process, from start to exit. State kept about a
+   * target belongs to one lifetime: a restarted process shares none of it.
    */
   readonly lifetime: string;
   readonly service: string;
   readonly address: string;
   readonly hall: string;
-  /** Requests that it works on at once. */
+  /** Requests that it processes concurrently. */
   readonly slots: number;
   readonly isLeaving: boolean;
-  /** The store's revision of its entry; a later life has a higher one. */
+  /** The store's revision of its entry; higher for a later lifetime. */
   readonly revision: StoreRevision;
-  /** Rises each time that it writes its entry, whatever the store's era. */
+  /** Increases with each write of its entry, also across the store's eras. */
   readonly sequence: number;
-  /** Group of ranks in lock-step that it belongs to; undefined: none. */
+  /** Group of lock-step ranks that it belongs to; undefined: none. */
   readonly group: string | undefined;
-  /** Its rank there; undefined: not told. */
+  /** Its rank in the group; undefined: unknown. */
   readonly rank: number | undefined;
 }
 
-/** What a request says of its prompt. */
+/** What a request's headers say about its prompt. */
 export interface Prompt {
   readonly promptTokens: number;
-  /** Most tokens that it wants. */
   readonly maxAnswerTokens: number;
-  /** The caller's guess of how many it will be; 0: none. */
+  /** The caller's estimate of the answer's length; 0: none. */
   readonly expectedAnswerTokens: number;
-  /** The part that says what it is about; empty: unknown. */
+  /** Id of the prompt part that identifies its subject; empty: unknown. */
   readonly subject: string;
 }
 
 /** A request as the caller sent it, without its body. */
 export interface RequestHead {
-  /** Names this try of the caller; it comes back in the answer. */
+  /** Identifies this attempt of the caller; echoed in the response. */
   readonly id: string;
   readonly method: string;
-  /** With its query, as sent. */
+  /** Path and query, as sent. */
   readonly path: string;
   readonly host: string;
   readonly key: string | undefined;
-  /** Milliseconds that the caller waits; undefined: it did not say. */
+  /** Milliseconds that the caller waits; undefined: not stated. */
   readonly timeLeftMs: number | undefined;
   readonly lastEventId: string | undefined;
   readonly prompt: Prompt | undefined;
-  /** Headers as sent, names and values by turns. */
+  /** Headers as sent, alternating names and values. */
   readonly rawHeaders: readonly string[];
 }
 
-/** What is told to a target beside the caller's own request. */
+/** What is added to the caller's request for one target. */
 export interface RequestMetadata {
   readonly targetId: string;
   readonly timeLeftMs: number;
-  /** Client account that holds the key; undefined: none. */
+  /** Client account of the key; undefined: none. */
   readonly account: string | undefined;
-  /** Event after which a stream goes on; undefined: as the caller said. */
+  /** Id after which to resume a stream; undefined: the caller's own. */
   readonly resumeAfterEventId: string | undefined;
 }
 
-/** What a target's answer says before its body. */
+/** Status and headers of a target's response. */
 export interface ResponseHead {
   readonly status: number;
-  /** The id that the answer claims to be for. */
+  /** Id of the request that the response claims to answer. */
   readonly requestId: string | undefined;
-  /** The target vouches for the body. */
+  /** The response carries the target's signature header. */
   readonly isSigned: boolean;
   /** The target states that it did not run the request. */
   readonly isNotRun: boolean;
-  /** The body is not the target's own bytes. */
+  /** The body has a content encoding. */
   readonly isEncoded: boolean;
-  /** What the target asks for besides. */
+  /** The pause that the target asks for. */
   readonly retryAfter: RestAsked;
-  /** The target says that it leaves. */
+  /** The target says that it is shutting down. */
   readonly isLeaving: boolean;
-  /** What the target names as its limit; undefined: it isn't its answer. */
+  /** The target's rate limit; undefined: the response is another target's. */
   readonly rateLimit: LimitNamed | undefined;
-  /** No length and no chunks: the end of the connection ends the body. */
+  /** Neither length nor chunks: the body ends with the connection. */
   readonly isUnframed: boolean;
-  /** Headers to pass on, names and values by turns. */
-  readonly forwardedHeaders: readonly string[];
+  /** Headers to pass on to the caller, alternating names and values. */
+  readonly passedHeaders: readonly string[];
 }
 
-/** Why a caller gets an answer of our own. */
+/** Why the entry itself answers a caller. Sent as JSON. */
 export type Refusal =
   | {readonly kind: 'bad-request'; readonly detail: string}
   | {readonly kind: 'no-route'}
   | {readonly kind: 'unknown-key'}
   | {readonly kind: 'too-large'; readonly limitBytes: number}
-  /** Nothing was run and nothing will be. */
+  /** Certainly not run by any target. `retryMs`: when to retry. */
   | {readonly kind: 'not-run'; readonly why: NotRunReason; retryMs: number}
   /**
-   * It may have run, or has run and its answer is of no use. `retryMs`: when a
-   * caller that may repeat it had better come back; left out: at once.
+   * It may have run, or its response was unusable. `retryMs`: when a caller
+   * that may repeat it should retry; left out: at once.
    */
   | {
       readonly kind: 'failed';
       readonly why: FailureReason;
       readonly retryMs?: number;
     }
-  /** Time ran out after it was sent. */
+  /** The deadline passed after it was sent. */
   | {readonly kind: 'timed-out'};
 
 export type NotRunReason =
@@ -132,21 +130,21 @@
   | 'broken-answer'
   | 'unproven-refusal';
 
-/** Translates between a caller's or target's headers and these types. */
+/** Translates between HTTP headers and these types. */
 export abstract class Wire {
-  /** Undefined where the request lacks what every request must carry. */
+  /** Undefined if a mandatory header is missing. */
   abstract readRequest(req: http.IncomingMessage): RequestHead | undefined;
-  /** Headers of the request to a target, names and values by turns. */
+  /** Headers of the request to a target, alternating names and values. */
   abstract targetHeaders(head: RequestHead, to: RequestMetadata): string[];
   abstract readResponse(res: http.IncomingMessage): ResponseHead;
-  /** Status and headers of an answer of our own. */
+  /** Status and headers of a response that the entry itself makes. */
   abstract refusalHead(
     refusal: Refusal,
     requestId: string | undefined,
   ): {status: number; headers: string[]};
 }
 
-/** True where sending a request twice does no harm. */
+/** True if a request may run more than once. */
 export function isRetrySafe(route: Route): boolean {
   return (
     route.kind === 'safe' || (route.kind === 'stream' && route.isResumable)
