--- a/src/forwarding/forwarder.ts
+++ b/src/forwarding/forwarder.ts
@@ -115,22 +115,22 @@
     }
     call.head = head;
     await this.context.whenRoutable(STARTUP_WAIT_MS);
-    const authorize = this.route(call, head);
-    if (authorize === undefined) {
+    const route = this.resolveRoute(call, head);
+    if (route === undefined) {
       return;
     }
     const timeLeftMs = head.timeLeftMs ?? DEFAULT_TIME_LEFT_MS;
     call.setRoute(
-      authorize.route,
-      authorize.account?.name,
-      Math.min(timeLeftMs, authorize.route.timeoutMs),
+      route.route,
+      route.account?.name,
+      Math.min(timeLeftMs, route.route.timeoutMs),
     );
     call.isLikelyRetry =
       head.timeLeftMs !== undefined &&
       this.retryDetector.isLikelyRetry(
-        authorize.route.name,
+        route.route.name,
         head.timeLeftMs,
-        authorize.route.timeoutMs,
+        route.route.timeoutMs,
       );
     const limit = this.context.configuration.table!.snapshot.limits.bodyBytes;
     const body = await bodies.readBody(call.req, limit);
@@ -140,21 +140,21 @@
       }
       return;
     }
-    const service = tables.pickService(authorize.route, random.unit());
+    const service = tables.pickService(route.route, random.unit());
     const request = {
       head,
       body: hasBody(call.req) ? body.value : undefined,
-      route: authorize.route,
+      route: route.route,
       service,
-      account: authorize.account,
+      account: route.account,
     };
     this.budgetOf(service).noteRequest(performance.now());
-    const relay = authorize.route.kind === 'stream' ? this.streams : this.plain;
+    const relay = route.route.kind === 'stream' ? this.streams : this.plain;
     await relay.relay(call, request);
   }
 
   /** Finds route and client account; undefined if the request was refused. */
-  private route(
+  private resolveRoute(
     call: Call,
     head: types.RequestHead,
   ): {route: Route; account: ClientAccount | undefined} | undefined {
--- a/src/forwarding/group-request-limit.ts
+++ b/src/forwarding/group-request-limit.ts
@@ -1,35 +1,35 @@
 /**
- * How many requests a group of ranks may work on so that its passes stay
- * shorter than the pause that streams may have. All ranks make each pass
- * together; its length is the slowest rank's own part plus, for each set of
- * layers, the part of the rank with the most loaded experts. Pure.
+ * Estimates how many requests a group of ranks can process while its passes
+ * stay shorter than the allowed pause of streams. All ranks make each pass
+ * together: it lasts as long as the slowest rank's own part plus the part of
+ * the rank whose experts are most loaded. Pure.
  */
 import type {EngineFigures} from '../routes/types';
 
-/** What is known of a group that decides how long its passes are. */
+/** Properties of a group that determine the duration of its passes. */
 export interface PassFactors {
   /** Ranks in the group. */
   readonly size: number;
-  /** Most loaded rank over the mean, averaged over sets; 1 is even. */
+  /** Load of the most loaded rank over the mean, averaged over sets; 1: even. */
   readonly imbalance: number;
-  /** Of the slowest rank; 1 or more. */
+  /** Actual over expected duration on the slowest rank; 1 or more. */
   readonly slowness: number;
 }
 
 /** Requests of the fullest rank over the mean. */
 const FULLEST_RANK_RATIO = 1.25;
-/** Part of the pause that a pass may take: passes are not all alike. */
+/** Share of the allowed pause that a pass may take; passes vary in length. */
 const PAUSE_SHARE = 0.93;
 /**
- * Where fewer than this part of the slots could be used, the pause can't be
- * kept whatever is refused, and all are served as well as they can be.
+ * If the pause allows less than this share of the slots, it is ignored: it can't
+ * be kept whatever is refused.
  */
 const MIN_SLOT_SHARE = 0.3;
-/** Beyond the slots requests wait; a few fill places that become free. */
+/** Maximum requests as a share of the slots; those above 1 wait for a slot. */
 const MAX_SLOT_SHARE = 1.05;
 const THOUSAND = 1_000;
 
-/** Milliseconds of work that a request is to its rank in one pass. */
+/** Milliseconds that one request adds to a pass of its rank. */
 function workMsPerPass(engine: EngineFigures): number {
   const context = engine.usualPrompt + engine.usualAnswer / 2;
   const step =
@@ -42,7 +42,7 @@
   return step * engine.stride + readMs / passes;
 }
 
-/** Milliseconds of a pass with so many requests a rank. */
+/** Milliseconds of a pass with `perRank` requests on each rank. */
 export function passMs(
   engine: EngineFigures,
   pace: PassFactors,
@@ -55,18 +55,21 @@
   return Math.max(own, fixed * pace.slowness) + share * work * pace.imbalance;
 }
 
-/** Requests that the group may work on at once. */
+/** Requests that the group may process at once. */
 export function maxRequests(
   engine: EngineFigures,
   pace: PassFactors,
   pauseMs: number,
 ): number {
   const {size} = pace;
-  const full = engine.slots * size;
-  const first = passMs(engine, pace, 0);
-  const eachMs = passMs(engine, pace, engine.slots) - first;
-  const left = pauseMs * PAUSE_SHARE - first;
-  const timely = eachMs > 0 ? (left / eachMs) * full : full;
-  const cap = full * MAX_SLOT_SHARE;
-  return timely < full * MIN_SLOT_SHARE ? cap : Math.min(timely, cap);
+  const totalSlots = engine.slots * size;
+  const emptyMs = passMs(engine, pace, 0);
+  const fullSlotsMs = passMs(engine, pace, engine.slots) - emptyMs;
+  const availableMs = pauseMs * PAUSE_SHARE - emptyMs;
+  const withinPause =
+    fullSlotsMs > 0 ? (availableMs / fullSlotsMs) * totalSlots : totalSlots;
+  const cap = totalSlots * MAX_SLOT_SHARE;
+  return withinPause < totalSlots * MIN_SLOT_SHARE
+    ? cap
+    : Math.min(withinPause, cap);
 }
--- a/src/forwarding/group-views.ts
+++ b/src/forwarding/group-views.ts
@@ -1,7 +1,7 @@
 /**
- * What the sidecars beside a group's ranks know of it: its planner tells them
- * at each reading, and an entry asks one of them several times a second. So
- * entries share a view of the group without asking each other.
+ * Polls the sidecars of each group of ranks for the group's state and derives
+ * its capacity. All entries poll, so they share a view of the group without
+ * calling each other; a view may be up to `MAX_VIEW_AGE_MS` old.
  */
 import * as rxjs from 'rxjs';
 import * as experts from '../experts/app';
@@ -14,86 +14,85 @@
 import * as limits from './group-request-limit';
 import type {Target} from './types';
 
-/** Pause between questions, in milliseconds; a sidecar waits for news. */
+/** Pause between long polls. */
 const POLL_PAUSE_MS = 20;
-/** And after a question that brought nothing. */
+/** Mean pause after a poll that returned nothing. */
 const FAILED_POLL_PAUSE_MS = 150;
-/** Time that a sidecar waits for news: longer than planners are silent. */
+/** Time that a sidecar waits for a new view; longer than a planner's interval. */
 const LONG_POLL_MS = 400;
-/** Longest wait for an answer beyond that, in milliseconds. */
+/** Time allowed for the response beyond the long poll. */
 const RESPONSE_MARGIN_MS = 120;
-/** Views older than this tell nothing, in milliseconds. */
+/** Older views are ignored. */
 const MAX_VIEW_AGE_MS = 900;
 const NO_RANK = -1;
-/** Entries that may send to a group beside this one, at most. */
+/** Maximum factor by which this entry's requests are scaled up to all entries'. */
 const MAX_ENTRIES = 16;
 
 interface ReceivedView {
   readonly view: GroupView;
-  /** Monotonic time at which the view was true. */
+  /** Monotonic time to which the view applies. */
   readonly at: number;
-  /** This entry's requests in flight when it heard, by target's lifetime. */
+  /** This entry's requests in flight at receipt, by target's lifetime. */
   readonly ownInFlight: ReadonlyMap<string, number>;
 }
 
 /**
- * Imbalance of a group that has just formed: its experts are dealt out in turn.
- * Taken for less, it would be sent more than it can begin.
+ * Assumed imbalance of a group that has just formed, whose experts are placed
+ * round-robin, regardless of load.
  */
 const NEW_GROUP_IMBALANCE = 3.5;
-/** Time in which a planner has told of a group that formed, in milliseconds. */
+/** Time after opening for which a group without a view counts as just formed. */
 const NEW_GROUP_MS = 2_000;
-/** Of a group of which nothing is told for another reason. */
+/** Assumed imbalance of other groups without a view. */
 const DEFAULT_IMBALANCE = 1.5;
 
-/** What decides whether a group takes another request. */
+/** Whether a group can take another request. Its fields are logged. */
 export interface GroupCapacity {
-  /** Requests that it may work on at once. */
+  /** Requests that it may process at once. */
   readonly most: number;
-  /** Those that it is believed to have. */
+  /** Requests that it is estimated to have. */
   readonly requests: number;
   readonly imbalance: number;
-  /** Of its slowest rank. */
+  /** Actual over expected duration on its slowest rank. */
   readonly slowness: number;
-  /** Milliseconds since this was told. */
+  /** Age of the view in milliseconds; Infinity: there is none. */
   readonly ageMs: number;
 }
 
-/** What following groups needs. */
 export interface GroupViewsContext {
   readonly rpc: RpcClient;
   readonly reach: Reach;
   readonly hall: string;
-  /** Where sidecars listen. */
+  /** Port on which sidecars listen. */
   readonly rpcPort: number;
-  /** Targets that are ranks of groups; the same list until one changes. */
+  /** Targets that are ranks of groups; the same array until one changes. */
   ranks(): readonly Target[];
-  /** Entries that are known, this one among them. */
+  /** Known entries, including this one. */
   knownEntryCount(): number;
-  /** A sidecar has told whether a rank's group was open at a time. */
+  /** A sidecar reported whether a rank's group was open at a monotonic time. */
   onGroupState(target: Target, isOpen: boolean, at: number): void;
   /** This entry's requests in flight to a lifetime of a target. */
   inFlight(lifetime: string): number;
 }
 
 export class GroupViews {
-  /** Something new was told of a group. */
+  /** Emits when a new view of any group arrived. */
   readonly updates = new rxjs.Subject<void>();
   private readonly views = new Map<string, ReceivedView>();
-  /** When groups were seen to open, by their keys; closed ones aren't here. */
+  /** When open groups were first seen open, by group key. */
   private readonly openedAt = new Map<string, number>();
-  /** The ranks by group, as long as they are the same. */
+  /** Ranks by group key, cached until the list of ranks changes. */
   private rankIndex: {
     readonly ranks: readonly Target[] | undefined;
     readonly byKey: ReadonlyMap<string, readonly Target[]>;
   } = {ranks: undefined, byKey: new Map()};
-  /** Groups that are being followed. */
+  /** Keys of the groups that are being polled. */
   private readonly polledGroups = new Set<string>();
   private isClosed = false;
 
   constructor(private readonly context: GroupViewsContext) {}
 
-  /** Follows the groups of the targets that are known by now. */
+  /** Starts to poll groups that have become known. */
   pollNewGroups(): void {
     for (const target of this.context.ranks()) {
       const key = keyOf(target);
@@ -104,7 +103,7 @@
     }
   }
 
-  /** This instance was suspended: what was told tells nothing any more. */
+  /** Drops all views: after a suspension of this instance they are outdated. */
   clear(): void {
     this.views.clear();
   }
@@ -114,67 +113,70 @@
     this.updates.complete();
   }
 
-  /** What was told of a target's group; undefined: nothing lately. */
+  /** The view of a target's group; undefined: none that is recent. */
   viewOf(target: Target, now: number): GroupView | undefined {
     return this.freshView(target, now)?.view;
   }
 
-  /** How many times as long as it should a target's work takes. */
+  /** Actual over expected duration of a target's work; 1 if unknown. */
   slownessOf(target: Target, now: number): number {
     const view = this.freshView(target, now)?.view;
     return view?.slow.find(one => one.rank === target.rank)?.slowness ?? 1;
   }
 
   /**
-   * Requests of all entries at a target: those that were told, and what this
-   * entry has sent and got answered since. Undefined where nothing was told.
+   * Requests of all entries at a target: the reported number, corrected by what
+   * this entry has started and ended since. Undefined without a recent view.
    */
   requestsAt(target: Target, now: number): number | undefined {
-    const held = this.freshView(target, now);
-    const told = held?.view.requests[target.rank ?? NO_RANK];
-    if (held === undefined || told === undefined) {
+    const received = this.freshView(target, now);
+    const reported = received?.view.requests[target.rank ?? NO_RANK];
+    if (received === undefined || reported === undefined) {
       return undefined;
     }
-    const ownThen = held.ownInFlight.get(target.lifetime) ?? 0;
-    return Math.max(told + this.context.inFlight(target.lifetime) - ownThen, 0);
+    const ownAtReceipt = received.ownInFlight.get(target.lifetime) ?? 0;
+    return Math.max(
+      reported + this.context.inFlight(target.lifetime) - ownAtReceipt,
+      0,
+    );
   }
 
-  /** What a target's group may take. */
+  /** Capacity of a target's group for passes no longer than `pauseMs`. */
   capacityOf(
     target: Target,
     engine: EngineFigures,
     pauseMs: number,
     now: number,
   ): GroupCapacity {
-    const held = this.freshView(target, now);
-    if (held === undefined) {
+    const received = this.freshView(target, now);
+    if (received === undefined) {
       return this.estimateCapacity(target, engine, pauseMs, now);
     }
-    const {view} = held;
-    const told = sumOf(view.requests);
+    const {view} = received;
+    const reported = sumOf(view.requests);
     const slowness = Math.max(1, ...view.slow.map(one => one.slowness));
     const {imbalance} = view;
     const pace = {size: view.requests.length, imbalance, slowness};
     const own = sumOf([...this.ownInFlightOf(keyOf(target)).values()]);
-    const ownThen = sumOf([...held.ownInFlight.values()]);
-    // Other entries change with the traffic as this one does.
+    const ownAtReceipt = sumOf([...received.ownInFlight.values()]);
+    // Assumes that the other entries' requests changed in proportion to ours.
     const scale = Math.min(
-      Math.max(told / Math.max(ownThen, 1), 1),
+      Math.max(reported / Math.max(ownAtReceipt, 1), 1),
       MAX_ENTRIES,
     );
-    const requests = told + (own - ownThen) * scale;
+    const requests = reported + (own - ownAtReceipt) * scale;
     return {
       most: limits.maxRequests(engine, pace, pauseMs),
       requests,
       imbalance,
       slowness,
-      ageMs: now - held.at,
+      ageMs: now - received.at,
     };
   }
 
   /**
-   * Room where nothing was told lately, as in a group that has just opened:
-   * other entries are taken to send as many requests as this one.
+   * Capacity without a recent view, as after a group has opened: assumes that
+   * each entry has as many requests in flight as this one.
    */
   private estimateCapacity(
     target: Target,
@@ -200,44 +202,46 @@
   }
 
   private freshView(target: Target, now: number): ReceivedView | undefined {
-    const held = this.views.get(keyOf(target));
-    return held !== undefined && now - held.at < MAX_VIEW_AGE_MS
-      ? held
+    const received = this.views.get(keyOf(target));
+    return received !== undefined && now - received.at < MAX_VIEW_AGE_MS
+      ? received
       : undefined;
   }
 
-  /** Asks for news of a group as long as it has ranks. */
+  /** Polls a group's sidecars until the group has no ranks. */
   private async pollGroup(key: string): Promise<void> {
     while (!this.isClosed) {
       const ranks = this.ranksOf(key);
       if (ranks.length === 0) {
         break;
       }
-      const isTold = await this.poll(key, ranks);
-      await pause(isTold ? POLL_PAUSE_MS : random.jitter(FAILED_POLL_PAUSE_MS));
+      const hasNews = await this.poll(key, ranks);
+      await pause(
+        hasNews ? POLL_PAUSE_MS : random.jitter(FAILED_POLL_PAUSE_MS),
+      );
     }
     this.polledGroups.delete(key);
     this.views.delete(key);
     this.openedAt.delete(key);
   }
 
-  /** False where nothing was told. */
+  /** Polls one sidecar, of the own hall if possible; false if it told nothing. */
   private async poll(key: string, ranks: readonly Target[]): Promise<boolean> {
     const {rpc, hall, rpcPort} = this.context;
     const near = ranks.filter(rank => rank.hall === hall);
     const rank = random.pick(near.length > 0 ? near : ranks);
     const [host] = rank.address.split(':', 1);
-    const answer = await rpc.call(
+    const response = await rpc.call(
       `${host}:${rpcPort}`,
       experts.view,
       {waitMs: LONG_POLL_MS},
       LONG_POLL_MS + RESPONSE_MARGIN_MS,
     );
-    if (!answer.ok) {
+    if (!response.ok) {
       return false;
     }
     this.context.reach.note();
-    const {known, seen} = answer.value;
+    const {known, seen} = response.value;
     if (seen !== undefined) {
       const seenAt = performance.now() - seen.ageMs;
       this.noteGroupState(key, seen.isOpen, seenAt);
--- a/src/forwarding/outcome-observer.ts
+++ b/src/forwarding/outcome-observer.ts
@@ -1,4 +1,4 @@
-/** What the sends of an entry teach it of targets and their groups. */
+/** Updates the state of targets and groups from the outcomes of sends. */
 import type {GroupGate} from './group-gate';
 import type {Log} from '../observability/log';
 import type {Metrics} from '../observability/metrics';
@@ -7,7 +7,6 @@
 import type {TargetList} from './target-list';
 import type * as types from './types';
 
-/** What is taught. */
 export interface ObserverContext {
   readonly targets: TargetList;
   readonly gate: GroupGate;
@@ -18,7 +17,7 @@
 export class OutcomeObserver {
   constructor(private readonly context: ObserverContext) {}
 
-  /** Notes how a send ended; `head` is the head of its answer. */
+  /** Records the outcome of a send; `head` is that of its response, if any. */
   noteOutcome(
     target: types.Target,
     outcome: exchanges.Outcome,
@@ -26,14 +25,14 @@
     sentAt: number,
   ): void {
     if (outcome.kind === 'not-run' && outcome.status === outcomes.MISDIRECTED) {
-      // Another life, or another service, has the address by now.
+      // Another lifetime or another service has this address now.
       this.context.targets.drop(target);
     }
     this.noteGroup(target, outcome, head);
     this.noteCooldownEnd(target, outcome, sentAt);
   }
 
-  /** Holds what a target asks for besides, as soon as it has head so. */
+  /** Applies the cooldown, limit and shutdown that a response head states. */
   noteHead(
     target: types.Target,
     head: types.ResponseHead,
@@ -75,7 +74,7 @@
     }
   }
 
-  /** A target that takes a request after its rest is used as before. */
+  /** A target that accepts a request after its cooldown is fully used again. */
   private noteCooldownEnd(
     target: types.Target,
     outcome: exchanges.Outcome,
@@ -83,16 +82,19 @@
   ): void {
     const {targets, log} = this.context;
     const {id, service} = target;
-    const hasTaken =
+    const hasAccepted =
       outcome.kind === 'streaming' || outcome.kind === 'answered';
-    if (hasTaken && targets.noteAccepted(target, sentAt, performance.now())) {
+    if (
+      hasAccepted &&
+      targets.noteAccepted(target, sentAt, performance.now())
+    ) {
       log.event('targetRested', {target: id, service});
     }
   }
 
   /**
-   * Learns from an outcome whether the target's group takes requests. Who asks
-   * for rest speaks for itself alone, and not for the other ranks.
+   * Records whether the target's group accepts requests. A refusal that asks for
+   * a cooldown concerns the one rank only.
    */
   private noteGroup(
     target: types.Target,
--- a/src/forwarding/outcomes.ts
+++ b/src/forwarding/outcomes.ts
@@ -1,22 +1,22 @@
-/** What the end of a send says: of the target, and for the log. Pure. */
+/** Classifies outcomes of sends, for target state, retries and the log. Pure. */
 import type * as exchanges from './exchange';
 import type {ResponseHead, Target} from './types';
 
-/** The status of a target that another was meant. Source: RFC 9110. */
+/** Status of a target that is not the expected one. Source: RFC 9110. */
 export const MISDIRECTED = 421;
 export const UNAVAILABLE = 503;
 const FIRST_SERVER_ERROR = 500;
 
 /**
- * What a refusal counts beside a failure: who refuses is full, or the first
- * rank of a group that closes, and is as good as the others once it opens.
+ * Lower than a failure's: a target that refuses is full or its group is
+ * closing, and works normally afterwards.
  */
 const REFUSAL_FAILURE_SCORE = 0.125;
 
-/** How the last send to each target went, by its lifetime. */
+/** Kind of outcome of the last send to each target, by its lifetime. */
 export type TriedTargets = Map<string, exchanges.Outcome['kind']>;
 
-/** How much the outcome speaks against the target, 0 to 1. */
+/** 0 for success to 1 for failure of the target. */
 export function failureScoreOf(outcome: exchanges.Outcome): number {
   switch (outcome.kind) {
     case 'answered':
@@ -32,13 +32,13 @@
   }
 }
 
-/** False where it is certain that the target did not run the request. */
+/** False if it is certain that the target did not run the request. */
 export function mayHaveRun(outcome: exchanges.Outcome): boolean {
   const isUnsent = outcome.kind === 'timed-out' && !outcome.sent;
   return outcome.kind !== 'not-run' && !isUnsent;
 }
 
-/** True where the target was gone before it had answered. */
+/** True if the connection broke before the response was complete. */
 export function isLost(outcome: exchanges.Outcome): boolean {
   return (
     outcome.kind === 'unknown' &&
@@ -46,7 +46,7 @@
   );
 }
 
-/** True where another run may do better than this one did. */
+/** True if it may have run without success, so that a retry may succeed. */
 export function hasFailed(outcome: exchanges.Outcome): boolean {
   return (
     outcome.kind === 'unknown' ||
@@ -54,7 +54,7 @@
   );
 }
 
-/** True where the target itself has said something. */
+/** True if the target itself has responded. */
 export function hasResponded(outcome: exchanges.Outcome): boolean {
   const isRefusal = outcome.kind === 'not-run' && outcome.status !== undefined;
   return (
@@ -62,13 +62,13 @@
   );
 }
 
-/** Fields of a log line. */
+/** Log fields of an outcome. */
 export function outcomeFields(outcome: exchanges.Outcome): object {
   switch (outcome.kind) {
     case 'answered':
       return {
         status: outcome.head.status,
-        // A short answer that was taken for whole shows nowhere else.
+        // Without framing, a truncated body is visible by its length only.
         ...(outcome.head.isUnframed ? {unframed: outcome.body.length} : {}),
       };
     case 'streaming':
@@ -84,7 +84,7 @@
   }
 }
 
-/** Fields of a log line: what the target asked for besides. */
+/** Log fields of a response head: cooldown, rate limit and shutdown. */
 export function headFields(head: ResponseHead | undefined): object {
   const {retryAfter, rateLimit} = head ?? {};
   return {
@@ -97,9 +97,8 @@
 }
 
 /**
- * Targets that were not tried yet. Where there are none left, those that gave
- * an answer of their own may give a better one: a service may have one target,
- * whose runs fail now and then.
+ * Targets that were not tried yet; if there are none, those that answered: the
+ * only target of a service may fail one run and succeed in the next.
  */
 export function untried(
   targets: readonly Target[],
--- a/src/forwarding/permit-queues.ts
+++ b/src/forwarding/permit-queues.ts
@@ -1,9 +1,8 @@
 /**
- * Requests that wait for permits to send to targets that have all named limits,
- * by service: the more urgent ones go first, and of those the earlier one. Pure.
+ * Queues of requests that wait for permits to send to rate-limited targets, by
+ * service. Ordered by priority, then by arrival. Pure.
  */
 
-/** A request's place, once it waits. */
 interface WaitingRequest {
   readonly priority: number;
   readonly sequence: number;
@@ -13,7 +12,7 @@
   private readonly queues = new Map<string, Set<WaitingRequest>>();
   private lastSequence = 0;
 
-  /** A request of a service; it doesn't wait yet. 0 is the most urgent. */
+  /** Position of a request that is not queued yet. 0 is the highest priority. */
   positionFor(service: string, priority: number): QueuePosition {
     return new QueuePosition(this, service, priority);
   }
@@ -22,30 +21,30 @@
   join(service: string, priority: number): WaitingRequest {
     this.lastSequence += 1;
     const waiting = {priority, sequence: this.lastSequence};
-    const line = this.queues.get(service) ?? new Set();
-    this.queues.set(service, line.add(waiting));
+    const queue = this.queues.get(service) ?? new Set();
+    this.queues.set(service, queue.add(waiting));
     return waiting;
   }
 
   /** @internal */
   leave(service: string, waiting: WaitingRequest): void {
-    const line = this.queues.get(service);
-    line?.delete(waiting);
-    if (line?.size === 0) {
+    const queue = this.queues.get(service);
+    queue?.delete(waiting);
+    if (queue?.size === 0) {
       this.queues.delete(service);
     }
   }
 
-  /** Those of a service that go before one that would wait so. */
+  /** Queued requests of a service that precede `own`. */
   countAhead(service: string, own: WaitingRequest): number {
-    const line = this.queues.get(service);
-    return line === undefined
+    const queue = this.queues.get(service);
+    return queue === undefined
       ? 0
-      : [...line].filter(other => goesBefore(other, own)).length;
+      : [...queue].filter(other => precedes(other, own)).length;
   }
 }
 
-/** Where one request stands. */
+/** Position of one request in the queue of its service. */
 export class QueuePosition {
   private waiting: WaitingRequest | undefined;
 
@@ -55,18 +54,16 @@
     private readonly priority: number,
   ) {}
 
-  /** Requests that go before this one. */
+  /** Queued requests that precede this one. */
   get aheadCount(): number {
     const own = this.waiting ?? {priority: this.priority, sequence: Infinity};
     return this.queues.countAhead(this.service, own);
   }
 
-  /** Waits from now on. */
   join(): void {
     this.waiting ??= this.queues.join(this.service, this.priority);
   }
 
-  /** Waits no more. */
   leave(): void {
     if (this.waiting !== undefined) {
       this.queues.leave(this.service, this.waiting);
@@ -75,7 +72,7 @@
   }
 }
 
-function goesBefore(other: WaitingRequest, own: WaitingRequest): boolean {
+function precedes(other: WaitingRequest, own: WaitingRequest): boolean {
   return (
     other.priority < own.priority ||
     (other.priority === own.priority && other.sequence < own.sequence)
--- a/src/forwarding/plain-relay.ts
+++ b/src/forwarding/plain-relay.ts
@@ -1,4 +1,4 @@
-/** Requests whose answer is read whole before it is passed on. */
+/** Relays requests whose response is read whole before it is passed on. */
 import type {Call} from './call';
 import type * as exchanges from './exchange';
 import type {TriedTargets} from './outcomes';
--- a/src/forwarding/refusal-builder.ts
+++ b/src/forwarding/refusal-builder.ts
@@ -1,4 +1,4 @@
-/** Why a request is refused that no target took, and when to come back. */
+/** Builds, logs and counts refusals of requests that no target accepted. */
 import type {Log} from '../observability/log';
 import type {Metrics} from '../observability/metrics';
 import type {CurrentConfiguration} from '../routes/current';
@@ -10,18 +10,17 @@
 import type {Unavailability, TargetList} from './target-list';
 import type * as types from './types';
 
-/** What is looked at for it. */
 export interface RefusalContext {
   readonly configuration: CurrentConfiguration;
   readonly targets: TargetList;
   readonly gate: GroupGate;
-  /** Entries of the site that are known, this one among them. */
+  /** Known entries of the site, including this one. */
   knownEntryCount(): number;
   readonly log: Log;
   readonly metrics: Metrics;
 }
 
-/** Requests a second at which callers come back at least. */
+/** Lower bound of the rate at which one entry's callers are asked to retry. */
 const MIN_RETRIES_PER_SECOND = 0.1;
 const SECOND_MS = 1_000;
 
@@ -30,7 +29,7 @@
 
   constructor(private readonly context: RefusalContext) {}
 
-  /** Asks the caller to come back when the group may have formed. */
+  /** All groups are closed; `group` is the one to wait for. */
   closedGroup(
     call: Call,
     service: string,
@@ -63,7 +62,7 @@
     return {kind: 'not-run', why: 'crashes-targets', retryMs};
   }
 
-  /** Every target has as much from this entry as it should wait for. */
+  /** No target or group has capacity left. */
   overloaded(
     call: Call,
     service: string,
@@ -81,7 +80,7 @@
     return {kind: 'not-run', why: 'overloaded', retryMs};
   }
 
-  /** The last target turned the request away; others may take the next. */
+  /** The last target refused the request. */
   targetFull(call: Call, service: string): types.Refusal {
     const cause = this.context.targets.unavailabilityOf(
       service,
@@ -96,7 +95,7 @@
       : this.unavailable(call, service, cause);
   }
 
-  /** Why there is no target to choose. */
+  /** No target may be sent to now. */
   noneAvailable(
     call: Call,
     service: string,
@@ -107,7 +106,7 @@
       : this.unavailable(call, service, cause);
   }
 
-  /** All targets are held back for a while: the caller is told for how long. */
+  /** All targets are temporarily unavailable, for a known reason. */
   private unavailable(
     call: Call,
     service: string,
@@ -135,7 +134,7 @@
     return {kind: 'not-run', why: 'targets-resting', retryMs};
   }
 
-  /** They come back at the pace at which the targets take requests. */
+  /** Spreads callers' retries at the rate that the targets accept. */
   private rateLimited(
     call: Call,
     service: string,
--- a/src/forwarding/relay.ts
+++ b/src/forwarding/relay.ts
@@ -1,4 +1,4 @@
-/** What relaying plain requests and streams has in common. */
+/** Sending, retrying and refusing, common to plain requests and streams. */
 import type {Call} from './call';
 import * as comeBack from './retry-delays';
 import * as exchanges from './exchange';
@@ -12,13 +12,14 @@
 import type {TargetFinder} from './target-finder';
 import * as types from './types';
 
-/** Sends of one request to a group that refuses them all. */
+/** Maximum sends of one request, also where its group refuses them all. */
 const MAX_SENDS = 6;
 /**
- * Sends of one request that are lost with their connection: what crashes a
- * target crashes the next one too.
+ * Maximum sends of one request whose connection broke: a request that crashed
+ * one target may crash the next.
  */
 const MAX_LOSSES = 2;
+
 export abstract class Relay {
   private readonly observer: OutcomeObserver;
   private readonly refusals: RefusalBuilder;
@@ -32,10 +33,10 @@
     this.refusals = finder.refusals;
   }
 
-  /** Serves a request to its end. */
+  /** Serves a request; resolves when it has ended. */
   abstract relay(call: Call, request: RelayedRequest): Promise<void>;
 
-  /** A request and the connection that carried it were lost. */
+  /** The connection broke before the response was complete. */
   protected noteLost(
     call: Call,
     request: RelayedRequest,
@@ -52,7 +53,7 @@
     }
   }
 
-  /** Sends to a target that was found, once, and notes how it went. */
+  /** Sends to a target once and records the outcome. */
   protected async send(
     call: Call,
     request: RelayedRequest,
@@ -95,11 +96,11 @@
       this.noteServed(request);
     }
     if (outcome.kind !== 'streaming') {
-      // A group that is closed says nothing of the one rank.
-      const harm = this.isGroupClosed(target)
+      // A refusal by a closed group is no failure of the rank.
+      const failure = this.isGroupClosed(target)
         ? 0
         : outcomes.failureScoreOf(outcome);
-      balancer.end(target, harm, performance.now());
+      balancer.end(target, failure, performance.now());
     }
     this.context.log.event('requestSent', {
       request: request.head.id,
@@ -114,10 +115,9 @@
   }
 
   /**
-   * Notes a target as tried, but for a rank whose group took nothing at all:
-   * that says nothing of the rank, and whoever waits for the group may be the
-   * one that finds out at each of its ranks; it would be refused while those
-   * beside it are served.
+   * Marks a target as tried, except a rank that refused because its group is
+   * closed: a request that probes the group repeatedly would otherwise run out
+   * of ranks before the group opens.
    */
   protected noteTried(
     tried: outcomes.TriedTargets,
@@ -129,25 +129,25 @@
     }
   }
 
-  /** True where a target's group takes nothing at any of its ranks. */
+  /** True if the target's group accepts no requests at any rank. */
   private isGroupClosed(target: types.Target): boolean {
     return this.context.gate.closedMs(target.group, performance.now()) > 0;
   }
 
-  /** True where an outcome harms nobody who sends the request once more. */
+  /** True if the outcome allows a retry and one is granted. */
   protected mayRetry(
     call: Call,
     request: RelayedRequest,
     target: types.Target,
     outcome: exchanges.Outcome,
   ): boolean {
-    const isHarmless =
+    const isRetryable =
       outcome.kind === 'not-run' ||
       (outcomes.hasFailed(outcome) && types.isRetrySafe(request.route));
-    return isHarmless && this.tryRetry(call, request, target);
+    return isRetryable && this.tryRetry(call, request, target);
   }
 
-  /** Passes a whole answer on, or answers ourselves. */
+  /** Answers the caller: with the target's response or with a refusal. */
   protected finish(
     call: Call,
     request: RelayedRequest,
@@ -174,8 +174,8 @@
   }
 
   /**
-   * Refuses a request for which no target was found. One that was sent before
-   * may have run, and must not be told that it hasn't.
+   * Refuses a request for which no target was found. If an earlier send may have
+   * run, the caller must not be told that the request did not run.
    */
   protected refuseUnsent(
     call: Call,
@@ -192,13 +192,13 @@
     }
   }
 
-  /** True where the request may be sent to one more target. */
+  /** True if the request may be sent once more; draws on the retry budget. */
   protected tryRetry(
     call: Call,
     request: RelayedRequest,
     target: types.Target,
   ): boolean {
-    // Refusals of a group that is closed leave the request's tries alone.
+    // Refusals by a closed group don't count against the route's attempts.
     const used = this.isGroupClosed(target)
       ? call.possibleRunCount
       : call.sendCount;
@@ -210,16 +210,16 @@
     ) {
       return false;
     }
-    const isDrawn = this.budgetOf(request.service).tryDraw(performance.now());
+    const isGranted = this.budgetOf(request.service).tryDraw(performance.now());
     this.context.log.event('requestRetried', {
       request: request.head.id,
       target: target.id,
-      allowed: isDrawn,
+      allowed: isGranted,
     });
-    return isDrawn;
+    return isGranted;
   }
 
-  /** Answers for an outcome that gave nothing to pass on. */
+  /** Answers the caller for an outcome without a response to pass on. */
   private refuseOutcome(
     call: Call,
     target: types.Target,
--- a/src/forwarding/relayed-request.ts
+++ b/src/forwarding/relayed-request.ts
@@ -1,9 +1,8 @@
-/** A request on its way to targets. */
+/** A request that is relayed to targets, and its identity. */
 import * as crypto from 'node:crypto';
 import type {ClientAccount, Route} from '../routes/types';
 import type {RequestHead} from './types';
 
-/** A request that may be sent to targets. */
 export interface RelayedRequest {
   readonly head: RequestHead;
   readonly body: Buffer | undefined;
@@ -12,15 +11,12 @@
   readonly account: ClientAccount | undefined;
 }
 
-/** Characters of a digest that are kept: 96 bits. */
+/** Characters of the base64url digest that are kept: 96 bits. */
 const DIGEST_LENGTH = 16;
-/** A body is read once for it, however often the request is sent. */
+/** Cached, so that a body is hashed once, however often it is sent. */
 const digests = new WeakMap<RelayedRequest, string>();
 
-/**
- * What makes two requests the same one: the digest of method, host, path, caller's
- * key and body.
- */
+/** Identifies equal requests: digest of method, host, path, caller's key and body. */
 export function digestOf(request: RelayedRequest): string {
   let digest = digests.get(request);
   if (digest === undefined) {
@@ -40,7 +36,7 @@
   return hash.digest('base64url').slice(0, DIGEST_LENGTH);
 }
 
-/** 0 is the most urgent. */
+/** 0 is the highest priority. */
 export function priorityOf({route, account}: RelayedRequest): number {
   return account?.priority ?? route.priority;
 }
--- a/src/forwarding/retry-budget.ts
+++ b/src/forwarding/retry-budget.ts
@@ -1,21 +1,18 @@
 /**
- * This entry's part of the retries that all entries may make together. It
- * stays under the common share without asking anybody, and takes a little of
- * the extra, so that even a quiet entry can send a request again.
+ * This entry's part of the retries that all entries may make together in a
+ * sliding window: a share of its own requests, and a part of the fixed extra, so
+ * that an entry with few requests can retry too. Needs no coordination.
  */
 import type {RetryBudgetSettings} from '../roles/site-settings';
 
-/** Part of the common share that is used; the rest is for clock skew. */
+/** Part of the allowed share that is used; the rest covers clock skew. */
 const USED_SHARE = 0.9;
-/** Entries that the extra is divided among at least. */
+/** Minimum number of parts into which the extra is divided. */
 const MIN_PARTS = 24;
-/**
- * And so many times those that are known: a process that has just started may
- * know of few.
- */
+/** Parts of the extra per known entry: a starting entry may not know them all. */
 const ENTRY_COUNT_FACTOR = 2;
 
-/** Requests noted before the first look for old ones. */
+/** Recorded requests above which outdated ones are removed. */
 const MIN_PRUNE_LENGTH = 1_024;
 
 export class RetryBudget {
@@ -23,13 +20,13 @@
   private retries: number[] = [];
   private pruneLength = MIN_PRUNE_LENGTH;
 
-  /** `entries`: how many are known, this one among them. */
+  /** `knownEntryCount` includes this entry. */
   constructor(
     private readonly settings: () => RetryBudgetSettings,
     private readonly knownEntryCount: () => number = () => 1,
   ) {}
 
-  /** Notes a request's first send; `now` is monotonic. */
+  /** Records a request, before its first send; `now` is monotonic. */
   noteRequest(now: number): void {
     this.requests.push(now);
     if (this.requests.length > this.pruneLength) {
@@ -38,7 +35,7 @@
     }
   }
 
-  /** True where a request may be sent again; it is then counted. */
+  /** True if a retry is allowed; it is then counted. */
   tryDraw(now: number): boolean {
     const {share, extra} = this.settings();
     this.prune(now);
--- a/src/forwarding/retry-schedule.ts
+++ b/src/forwarding/retry-schedule.ts
@@ -1,19 +1,18 @@
 /**
- * When callers of services come back that are refused because all targets are
- * at their limits: one after the other, at the pace at which requests are taken.
- * Pure over a clock reading.
+ * Schedules the retries of callers that were refused because all targets of a
+ * service are at their rate limits: evenly spaced, at the accepted rate.
  */
 
-/** Later than this nobody is told to come back, in milliseconds. */
+/** Maximum delay, unless the targets need longer. */
 const MAX_DELAY_MS = 10_000;
 
 export class RetrySchedule {
-  /** Monotonic time of the last place that was given, by service. */
+  /** Monotonic time of the last scheduled retry, by service. */
   private readonly lastSlots = new Map<string, number>();
 
   /**
-   * Milliseconds until the next place in a service's line: `soonestMs` at least,
-   * and `spacingMs` after the one before.
+   * Milliseconds until a service's next retry: at least `soonestMs`, and at least
+   * `spacingMs` after the one before, up to the maximum delay.
    */
   nextDelayMs(
     service: string,
--- a/src/forwarding/slow-ranks.ts
+++ b/src/forwarding/slow-ranks.ts
@@ -1,19 +1,17 @@
 /**
- * Streams on ranks that have turned slow. All ranks of a group make each pass
- * together, so the work of a slow rank's own requests lengthens the passes of
- * everybody's, until all of the group's streams miss their time. So such streams
- * go on at other ranks, where that is allowed. Pure.
+ * Decides whether a stream should move off a slow rank. All ranks of a group
+ * make each pass together, so requests on a slow rank delay all streams of the
+ * group. Pure.
  */
 import type {GroupView} from '../experts/types';
 
 /**
- * Slowness from which on a stream is moved. It costs the prompt to be read
- * once more, about a pass, and a retry; at twice the usual time the passes of
- * all are longer by more than that within a few.
+ * Minimum actual over expected duration of a rank's work to move its streams: a
+ * move costs a second prefill and a retry.
  */
 const MIN_MOVE_SLOWNESS = 2;
 
-/** True where a stream on a rank should go on at another one. */
+/** True if a stream on a rank should resume at another one. */
 export function shouldMove(
   view: GroupView,
   rank: number | undefined,
@@ -25,11 +23,11 @@
     return false;
   }
   let requests = 0;
-  let places = 0;
+  let availableSlots = 0;
   view.requests.forEach((count, at) => {
     requests += count;
-    places += isSlow(at) ? 0 : slots;
+    availableSlots += isSlow(at) ? 0 : slots;
   });
-  // Where the others have no room, it would only wait there.
-  return requests <= places;
+  // Without free slots elsewhere the stream would only queue there.
+  return requests <= availableSlots;
 }
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -1,7 +1,7 @@
 /**
- * Streams of events. Only whole events are passed on, so that a stream that
- * breaks off can go on at another target after the last of them, within the
- * same answer.
+ * Relays event streams. Only complete events are passed on, so that a broken
+ * stream can resume at another target after the last one, within the same
+ * response to the caller.
  */
 import * as bodies from '../http/body';
 import * as resets from '../http/resets';
@@ -15,10 +15,9 @@
 import type {Target} from './types';
 import {isRetrySafe} from './types';
 
-/** The head of a stream; its events follow. */
 type StreamingOutcome = Extract<exchanges.Outcome, {kind: 'streaming'}>;
 
-/** How passing a target's events on ended. */
+/** How forwarding a target's events ended. */
 type PumpResult = 'done' | 'broken' | 'caller-left' | 'timed-out' | 'moved';
 
 export class StreamRelay extends Relay {
@@ -53,7 +52,7 @@
             call.beginStream(outcome.head);
           }
         };
-        const move = () =>
+        const shouldMoveNow = () =>
           this.isOnSlowRank(target) &&
           this.hasOtherTarget(request, tried) &&
           this.mayResume(call, request, target, hasBegun, splitter);
@@ -63,7 +62,7 @@
           target,
           splitter,
           begin,
-          move,
+          shouldMoveNow,
         );
         if (end === 'moved' && !call.isCallerGone) {
           continue;
@@ -113,15 +112,14 @@
     hasBegun: boolean,
     splitter: EventSplitter,
   ): boolean {
-    const canGoOn = !hasBegun || splitter.lastId !== undefined;
+    const hasResumePoint = !hasBegun || splitter.lastId !== undefined;
     return (
-      canGoOn &&
+      hasResumePoint &&
       isRetrySafe(request.route) &&
       this.tryRetry(call, request, target)
     );
   }
 
-  /** True where a stream had better go on at another rank of the group. */
   private isOnSlowRank(target: Target): boolean {
     const now = performance.now();
     const view = this.context.views.viewOf(target, now);
@@ -129,8 +127,8 @@
   }
 
   /**
-   * True where another target may be sent to now. A stream that leaves its rank
-   * while all others are at rest is cut.
+   * True if an untried target may be sent to now: without one, a stream that
+   * moves would be cut.
    */
   private hasOtherTarget(
     request: RelayedRequest,
@@ -141,7 +139,7 @@
       .some(({lifetime}) => !tried.has(lifetime));
   }
 
-  /** A stream that has begun can only be cut; nothing else is honest. */
+  /** A started stream can't be refused any more, so its connection is cut. */
   private cutOrRefuse(call: Call, hasBegun: boolean, refuse: () => void): void {
     if (hasBegun) {
       call.res.destroy();
@@ -157,12 +155,12 @@
     target: Target,
     splitter: EventSplitter,
     begin: () => void,
-    move: () => boolean,
+    shouldMoveNow: () => boolean,
   ): Promise<PumpResult> {
-    let isLate = false;
+    let isTimedOut = false;
     let isMoved = false;
-    const moving = this.context.views.updates.subscribe(() => {
-      if (!isMoved && !from.res.complete && move()) {
+    const moves = this.context.views.updates.subscribe(() => {
+      if (!isMoved && !from.res.complete && shouldMoveNow()) {
         isMoved = true;
         from.res.destroy();
         this.context.log.event('streamMoved', {
@@ -173,11 +171,11 @@
       }
     });
     const timer = setTimeout(() => {
-      isLate = true;
+      isTimedOut = true;
       from.res.destroy();
     }, call.timeLeftMs);
-    const onLeft = () => from.res.destroy();
-    call.signal.addEventListener('abort', onLeft, {once: true});
+    const onDisconnect = () => from.res.destroy();
+    call.signal.addEventListener('abort', onDisconnect, {once: true});
     let end: PumpResult = 'broken';
     try {
       for await (const chunk of from.res) {
@@ -205,12 +203,14 @@
       }
     } finally {
       clearTimeout(timer);
-      moving.unsubscribe();
-      call.signal.removeEventListener('abort', onLeft);
+      moves.unsubscribe();
+      call.signal.removeEventListener('abort', onDisconnect);
       from.res.destroy();
       this.context.balancer.end(
         target,
-        end === 'broken' && !isLate && !isMoved && !call.isCallerGone ? 1 : 0,
+        end === 'broken' && !isTimedOut && !isMoved && !call.isCallerGone
+          ? 1
+          : 0,
         performance.now(),
       );
     }
@@ -220,7 +220,7 @@
     if (isMoved) {
       return 'moved';
     }
-    return isLate ? 'timed-out' : end;
+    return isTimedOut ? 'timed-out' : end;
   }
 
   private finishStream(
@@ -238,11 +238,10 @@
 }
 
 /**
- * True where a stream came to the end that its target gave it. Where only the
- * end of the connection ends it, half an event tells that it broke off: the
- * caller took the half for the last one otherwise.
+ * True if the target ended the stream. If only the end of the connection marks
+ * the end, an incomplete last event shows that the stream broke off.
  */
 function isComplete(from: StreamingOutcome, splitter: EventSplitter): boolean {
-  const isCut = from.head.isUnframed && splitter.partial.length > 0;
-  return resets.isWhole(from.res) && !isCut;
+  const isTruncated = from.head.isUnframed && splitter.partial.length > 0;
+  return resets.isWhole(from.res) && !isTruncated;
 }
--- a/src/forwarding/target-connections.ts
+++ b/src/forwarding/target-connections.ts
@@ -30,7 +30,7 @@
     socket.setKeepAlive(true, SECOND_MS);
     socket.unref();
     const idleMs =
-      hint === undefined
+      seconds === undefined
         ? DEFAULT_IDLE_TIMEOUT_MS
         : seconds * SECOND_MS * IDLE_TIMEOUT_SHARE;
     if (idleMs <= 0) {
--- a/src/forwarding/target-finder.ts
+++ b/src/forwarding/target-finder.ts
@@ -1,7 +1,7 @@
 /**
- * Finds the target that a request is sent to next, and waits for one where that may
- * help: for a group that is closed or full, for one that comes back from its rest, or
- * for a permit where targets have named limits.
+ * Finds the target that a request is sent to next. Waits, up to a limit, for a
+ * closed or full group, for a target that is being tried after its cooldown, or
+ * for a permit to send to rate-limited targets.
  */
 import {Result, fail, ok} from '../result';
 import {TRIAL_MS} from '../targets/rest';
@@ -18,14 +18,13 @@
 import type * as types from './types';
 
 /**
- * Longest wait for a group that is closed or full, in milliseconds: callers
- * leave a stream that is silent for two seconds, and its first event takes a
- * part of them.
+ * Maximum wait for a target. Callers abandon a stream after two seconds without
+ * events, and the first event takes a part of that.
  */
-const MAX_GROUP_WAIT_MS = 1_200;
-/** Least time left that makes another send worth while, in milliseconds. */
+const MAX_WAIT_MS = 1_200;
+/** Minimum time left for another send. */
 export const MIN_TIME_LEFT_MS = 20;
-/** A stream that has begun can't be refused any more: it goes before others. */
+/** Precedes all others: a started stream can't be refused any more. */
 const STARTED_STREAM_PRIORITY = -1;
 const SECOND_MS = 1_000;
 
@@ -38,9 +37,9 @@
   }
 
   /**
-   * A target that was not tried yet. Where a group of ranks takes nothing for
-   * the moment, `mayWait` waits for it. The request counts as in flight at
-   * the target from then on. Fails with why there is none.
+   * Finds a target that was not tried yet and counts the request as in flight
+   * there. `mayWait` allows to wait for a closed or full group. Fails with the
+   * refusal to send to the caller.
    */
   async find(
     call: Call,
@@ -48,22 +47,24 @@
     tried: ReadonlyMap<string, exchanges.Outcome['kind']>,
     mayWait: boolean,
   ): Promise<Result<types.Target, types.Refusal>> {
-    const refused = this.crashDigestOf(request);
-    if (refused !== undefined) {
-      return fail(this.refusals.crashesTargets(call, request.service, refused));
+    const crashDigest = this.crashDigestOf(request);
+    if (crashDigest !== undefined) {
+      return fail(
+        this.refusals.crashesTargets(call, request.service, crashDigest),
+      );
     }
     const priority = call.hasSentHead
       ? STARTED_STREAM_PRIORITY
       : priorityOf(request);
-    const place = this.permitQueues.positionFor(request.service, priority);
+    const position = this.permitQueues.positionFor(request.service, priority);
     try {
-      return await this.choose(call, request, tried, mayWait, place);
+      return await this.choose(call, request, tried, mayWait, position);
     } finally {
-      place.leave();
+      position.leave();
     }
   }
 
-  /** The digest of a request that crashes targets; undefined: it is not known. */
+  /** Digest of a request that is known to crash targets; undefined otherwise. */
   private crashDigestOf(request: RelayedRequest): string | undefined {
     const {crashes} = this.context;
     const digest = crashes.isActive ? digestOf(request) : undefined;
@@ -75,12 +76,12 @@
     request: RelayedRequest,
     tried: ReadonlyMap<string, exchanges.Outcome['kind']>,
     mayWait: boolean,
-    place: QueuePosition,
+    position: QueuePosition,
   ): Promise<Result<types.Target, types.Refusal>> {
     const {targets, balancer, gate} = this.context;
     const startedAt = performance.now();
     const waitsUntil = Math.min(
-      startedAt + MAX_GROUP_WAIT_MS,
+      startedAt + MAX_WAIT_MS,
       call.deadline - MIN_TIME_LEFT_MS,
     );
     targets.requestPermits(request.service, startedAt);
@@ -90,18 +91,24 @@
         targets.ofService(request.service, now),
         tried,
       );
-      // Permits that have come are for those that go first.
-      if (known.length <= place.aheadCount) {
-        const hold =
+      // The available permits are left to the requests ahead in the queue.
+      if (known.length <= position.aheadCount) {
+        const unavailability =
           known.length > 0
             ? targets.unavailabilityForQueued(request.service, now)
             : targets.unavailabilityOf(request.service, now);
-        const patienceMs = maxUnavailabilityWaitMs(call, hold, place);
+        const maxWaitMs = maxUnavailabilityWaitMs(
+          call,
+          unavailability,
+          position,
+        );
         if (
           call.isCallerGone ||
-          now >= Math.min(startedAt + patienceMs, waitsUntil)
+          now >= Math.min(startedAt + maxWaitMs, waitsUntil)
         ) {
-          return fail(this.refusals.noneAvailable(call, request.service, hold));
+          return fail(
+            this.refusals.noneAvailable(call, request.service, unavailability),
+          );
         }
         await gate.waitForOpenOrProbe(undefined, call.signal);
         continue;
@@ -109,10 +116,11 @@
       const groups = groupChoice.groupsOf(known);
       const open = groups.filter(one => gate.closedMs(one.name, now) === 0);
       const closed = open.length > 0 ? undefined : groups[0]!.name;
-      // Who has waited in vain is let in while there are places.
+      // After the maximum wait only the slots limit admission, not the pause.
       const isUrgent = mayWait && (call.hasSentHead || now >= waitsUntil);
-      const some = open.length > 0 ? open : this.groupToProbe(groups, now);
-      const options = some.map(one => ({
+      const candidates =
+        open.length > 0 ? open : this.groupToProbe(groups, now);
+      const options = candidates.map(one => ({
         ...one,
         capacity: this.capacityFor(request, one.targets, isUrgent, now),
       }));
@@ -125,7 +133,7 @@
           targets.withPermit(group.targets, now),
         );
       if (chosen !== undefined) {
-        // At once: others that wait choose in the same turn of the loop.
+        // Before any await: other waiting requests choose in the same tick.
         balancer.begin(chosen.lifetime);
         targets.noteSent(chosen, now);
         return ok(chosen);
@@ -145,7 +153,7 @@
     }
   }
 
-  /** A closed group that this request may find out about; empty: none. */
+  /** A closed group that this request may probe; empty: none. */
   private groupToProbe(
     groups: readonly groupChoice.TargetGroup[],
     now: number,
@@ -156,8 +164,8 @@
   }
 
   /**
-   * What the group may take so that its passes are no longer than the pause
-   * that the route allows; for an urgent request, while there are places.
+   * Capacity of the group at which its passes stay within the route's pause; for
+   * an urgent request, limited by its slots only. Undefined: no limit.
    */
   private capacityFor(
     request: RelayedRequest,
@@ -182,30 +190,32 @@
 }
 
 /**
- * How long a request waits for targets that are all held back, in milliseconds.
- * At rest they take nothing until a time that is known, and the caller is told;
- * a stream that has begun can't be. Back from it they take one at a time. Where
- * they have named limits, a request waits that will have its permit by then.
+ * Maximum wait for targets that are all unavailable, in milliseconds. During a
+ * cooldown the caller is told its end instead; a started stream waits, because
+ * it can't be refused. After a cooldown, targets are tried with one request at a
+ * time. At rate limits, only requests wait that get a permit within the wait.
  */
 function maxUnavailabilityWaitMs(
   call: Call,
-  hold: Unavailability | undefined,
-  place: QueuePosition,
+  unavailability: Unavailability | undefined,
+  position: QueuePosition,
 ): number {
-  if (hold === undefined) {
+  if (unavailability === undefined) {
     return 0;
   }
-  if (hold.reason === 'limited') {
-    place.join();
-    const places = Math.ceil((hold.limitPerSecond * TRIAL_MS) / SECOND_MS);
+  if (unavailability.reason === 'limited') {
+    position.join();
+    const permits = Math.ceil(
+      (unavailability.limitPerSecond * TRIAL_MS) / SECOND_MS,
+    );
     return call.hasSentHead
       ? Infinity
-      : place.aheadCount < places
+      : position.aheadCount < permits
         ? TRIAL_MS
         : 0;
   }
   if (call.hasSentHead) {
     return Infinity;
   }
-  return hold.reason === 'resting' ? 0 : TRIAL_MS;
+  return unavailability.reason === 'resting' ? 0 : TRIAL_MS;
 }
--- a/src/forwarding/target-list.ts
+++ b/src/forwarding/target-list.ts
@@ -1,15 +1,12 @@
 /**
- * Targets that requests may be sent to. A target that says that it leaves is
- * out at once, and that lifetime of it for good. One that vanishes from the
- * list is out too, except while its entry may just have lapsed in an outage
- * of the store. One that has asked for rest in an answer is held back for it,
- * and one that has named a limit while there is no permit to send to it: whoever
- * chooses gets targets from here, and so no other.
+ * The targets that requests may be sent to. Removes targets that are shutting
+ * down or have vanished from the store, except for a grace period after an
+ * outage of the store. Holds back targets in cooldown and rate-limited targets
+ * without a permit; all senders get their targets from here.
  *
- * Lifetimes of one target are told apart by its start and put in order by the
- * store's revisions: the time of day, which starts are told in, may jump back. A
- * store that comes back from an older copy may list one that has gone: it counts
- * only once it has written its entry again.
+ * Lifetimes of a target are ordered by the store's revisions, not by their start
+ * times, because the wall clock may jump back. An entry that a store restored
+ * from an older copy lists again counts only once its target has rewritten it.
  */
 import * as bounded from '../bounded';
 import * as grouping from '../grouping';
@@ -20,20 +17,17 @@
 import type {Target} from './types';
 
 /**
- * How long after an outage entries that lapsed in it may stay away. Source:
- * the users' request: back within about two seconds of the store's return.
+ * How long after an outage a target stays usable whose entry lapsed in it. The
+ * target has to write its entry again within this time.
  */
 export const LAPSE_GRACE_MS = 2_000;
-/**
- * Lifetimes that have ended and are remembered, so that a late word of one
- * doesn't bring it back. Source: the size that decides has 3,200 targets.
- */
+/** Ended and removed lifetimes that are remembered to ignore outdated entries. */
 const MAX_ENDED_LIFETIMES = 4_096;
 
-/** Who says that a target leaves: its entry, or an answer of its own. */
+/** Source of the news that a target is shutting down: its entry or a response. */
 export type LeavingSource = 'entry' | 'answer';
 
-/** Why a target is in or out. */
+/** A change of the list. */
 export type TargetChange =
   | {readonly kind: 'joined'; readonly target: Target}
   | {
@@ -42,27 +36,27 @@
       readonly by: LeavingSource;
     }
   | {readonly kind: 'gone'; readonly target: Target}
-  /** It has started again under the same id. */
+  /** Restarted under the same id. */
   | {readonly kind: 'restarted'; readonly target: Target}
-  /** Not on the list, but kept for a while after an outage. */
+  /** Not in the store, but kept for the grace period after an outage. */
   | {readonly kind: 'missing'; readonly target: Target};
 
-/** All targets of a service are held back. */
+/** Why no target of a service may be sent to, although some are listed. */
 export interface Unavailability {
-  /** Milliseconds until one of them may be sent something. */
+  /** Milliseconds until the first may be sent to. */
   readonly waitMs: number;
   /**
-   * All are at rest; one has come back and is being tried; or some could be sent
-   * to but for the limits that they have named.
+   * resting: all are in cooldown. returning: at least one is being tried after
+   * its cooldown. limited: some are not in cooldown, but at their rate limits.
    */
   readonly reason: 'resting' | 'returning' | 'limited';
-  /** Requests a second that the limited ones take from all together. */
+  /** Sum of the rate limits of those not in cooldown, for all entries. */
   readonly limitPerSecond: number;
 }
 
 interface ListedTarget {
   target: Target;
-  /** Monotonic time at which a missing target is given up. */
+  /** Monotonic time at which a missing target is removed. */
   expiresAt: number;
 }
 
@@ -70,28 +64,27 @@
   private readonly listed = new Map<string, ListedTarget>();
   readonly limits = new LimitBook();
   private readonly cooldowns = new RestBook();
-  /** Oldest first. */
+  /** Ended lifetimes, oldest first. */
   private readonly ended = new Set<string>();
-  /** Last entries of lifetimes that are off the list; oldest first. */
+  /** Last entries of removed lifetimes, oldest first. */
   private readonly removed = new Map<string, Target>();
-  /** Services that the configuration names; undefined: not known yet. */
+  /** Services of the configuration; undefined: not known yet. */
   private knownServices: ReadonlySet<string> | undefined;
-  /** Halls to which the operator wants nothing sent. */
+  /** Halls that the operator has drained. */
   private drainedHalls: ReadonlySet<string> = new Set();
-  /** By service; undefined since something changed. */
+  /** Cached usable targets by service; undefined: to be computed. */
   private byService: ReadonlyMap<string, readonly Target[]> | undefined;
   private cachedRanks: readonly Target[] | undefined;
-  /** Monotonic time until which the lists hold. */
+  /** Monotonic time until which the cache is valid. */
   private byServiceUntil = 0;
 
-  /** `onChange` hears of every target that comes in or goes out. */
   constructor(
     private readonly onChange: (change: TargetChange) => void = () => undefined,
   ) {}
 
   /**
-   * Takes the whole list; `inGrace`: an outage has just ended. `unread` names
-   * entries that tell nothing: what is held under their ids stays.
+   * Replaces the list. `inGrace`: an outage has just ended. `unread`: ids of
+   * entries that could not be read; their targets stay as they are.
    */
   replaceAll(
     targets: readonly Target[],
@@ -102,14 +95,14 @@
     const listed = new Set(unread);
     targets.forEach(target => listed.add(target.id));
     targets.forEach(target => this.add(target));
-    for (const [id, held] of [...this.listed]) {
+    for (const [id, entry] of [...this.listed]) {
       if (!listed.has(id)) {
-        this.removeOrExpire(held, now, inGrace);
+        this.removeOrExpire(entry, now, inGrace);
       }
     }
   }
 
-  /** Takes one entry. */
+  /** Adds or updates a target from its entry; ignores outdated entries. */
   add(target: Target): void {
     const before = this.listed.get(target.id)?.target;
     const isStale =
@@ -138,15 +131,15 @@
     }
   }
 
-  /** An entry is gone. */
+  /** The entry of a target is gone from the store. */
   remove(id: string, now: number, inGrace: boolean): void {
-    const held = this.listed.get(id);
-    if (held !== undefined) {
-      this.removeOrExpire(held, now, inGrace);
+    const entry = this.listed.get(id);
+    if (entry !== undefined) {
+      this.removeOrExpire(entry, now, inGrace);
     }
   }
 
-  /** A target has said itself that it is not the one that was meant. */
+  /** Removes a target, until its entry is added again. */
   drop(target: Target): void {
     if (this.isListed(target.lifetime, target.id)) {
       this.listed.delete(target.id);
@@ -158,7 +151,7 @@
     }
   }
 
-  /** True for an entry that was gone, listed by an older copy of the store. */
+  /** True for an entry of a removed target from an older copy of the store. */
   private isFromOldCopy(target: Target): boolean {
     const last = this.removed.get(target.lifetime);
     return (
@@ -168,7 +161,7 @@
     );
   }
 
-  /** A target has said in an answer that it leaves: it gets nothing more. */
+  /** A target has said in a response that it shuts down: its lifetime ends. */
   leave(target: Target): void {
     if (this.isListed(target.lifetime, target.id)) {
       this.end(target);
@@ -179,8 +172,8 @@
   }
 
   /**
-   * A target has asked in an answer for so many milliseconds of rest. True where
-   * it was at none.
+   * Starts a cooldown of `ms` that a target has asked for in a response. True if
+   * it was in none.
    */
   startCooldown(target: Target, ms: number, now: number): boolean {
     return (
@@ -189,7 +182,7 @@
     );
   }
 
-  /** Takes what an answer says of its target's limit; tells what it changes. */
+  /** Applies the rate limit stated in a response; undefined: no change. */
   noteRateLimit(
     target: Target,
     named: LimitNamed,
@@ -201,28 +194,29 @@
       : this.limits.hear(target.lifetime, named, sentAt, now);
   }
 
-  /** Those of some targets that named a limit and to which a permit is held. */
-  withPermit(some: readonly Target[], now: number): readonly Target[] {
+  /** Those of the targets that are rate-limited and with a permit held. */
+  withPermit(targets: readonly Target[], now: number): readonly Target[] {
     return this.limits.size === 0
       ? []
-      : some.filter(({lifetime}) => this.limits.hasPermit(lifetime, now));
+      : targets.filter(({lifetime}) => this.limits.hasPermit(lifetime, now));
   }
 
-  /** A request of a service looks for a target. */
+  /** Requests permits for the targets of a service where these are needed. */
   requestPermits(service: string, now: number): void {
     if (this.limits.size > 0) {
-      const lifetimes = this.awake(service, now).map(one => one.lifetime);
+      const lifetimes = this.withoutCooldown(service, now).map(
+        one => one.lifetime,
+      );
       this.limits.want(lifetimes, now);
     }
   }
 
-  /** Notes that a request goes to a target. */
   noteSent(target: Target, now: number): void {
     this.cooldowns.noteSent(target.lifetime, now);
     this.limits.noteSent(target.lifetime, now);
   }
 
-  /** A target took a request; true where it is used as before its rest now. */
+  /** A target accepted a request; true if that ends the trial after its cooldown. */
   noteAccepted(target: Target, sentAt: number, now: number): boolean {
     return this.cooldowns.noteTaken(target.lifetime, sentAt, now);
   }
@@ -231,45 +225,38 @@
     return this.listed.get(id)?.target;
   }
 
-  /** The lifetimes that may get work. */
+  /** Lifetimes of all listed targets. */
   get lifetimes(): ReadonlySet<string> {
     return new Set(this.all().map(target => target.lifetime));
   }
 
   /**
-   * Services that the configuration names. An entry of any other service says
-   * nothing of the target at its address.
+   * Sets the services of the configuration. Entries of other services don't
+   * replace a target at the same address.
    */
   setKnownServices(services: readonly string[]): void {
     this.knownServices = new Set(services);
     this.invalidateCaches();
   }
 
-  /**
-   * Halls that the operator has emptied, all of them: their targets go on, and
-   * get nothing until the hall is taken back.
-   */
+  /** Replaces the set of drained halls; their targets get no requests. */
   setDrainedHalls(halls: Iterable<string>): void {
     this.drainedHalls = new Set(halls);
     this.invalidateCaches();
   }
 
-  /**
-   * Targets of a service that may be sent something now. Where a process died,
-   * its entry stays for a while beside that of its next life at the same address.
-   */
+  /** Targets of a service that may be sent to now. */
   ofService(service: string, now: number): readonly Target[] {
-    const withoutCooldown = this.awake(service, now);
-    return this.limits.open(withoutCooldown, target => target.lifetime, now);
+    const candidates = this.withoutCooldown(service, now);
+    return this.limits.open(candidates, target => target.lifetime, now);
   }
 
-  /** Those of a service that are at no rest. */
-  private awake(service: string, now: number): readonly Target[] {
+  private withoutCooldown(service: string, now: number): readonly Target[] {
     const listed = this.byServiceAt(now).get(service) ?? [];
     return this.cooldowns.awake(listed, target => target.lifetime, now);
   }
 
-  /** Where all targets of a service are held back: until when, and for what. */
+  /** Why all targets of a service are unavailable; undefined: none, or not all. */
   unavailabilityOf(service: string, now: number): Unavailability | undefined {
     const listed = this.byServiceAt(now).get(service) ?? [];
     const waits = listed.map(({lifetime}) =>
@@ -282,41 +269,41 @@
       return undefined;
     }
     const waitMs = Math.min(...waits);
-    const awake = this.awake(service, now);
-    if (awake.length > 0) {
+    const candidates = this.withoutCooldown(service, now);
+    if (candidates.length > 0) {
       return {
         waitMs,
         reason: 'limited',
-        limitPerSecond: this.totalLimitOf(awake),
+        limitPerSecond: this.totalLimitOf(candidates),
       };
     }
-    const isAtRest = listed.every(one =>
+    const areAllResting = listed.every(one =>
       this.cooldowns.isResting(one.lifetime, now),
     );
     return {
       waitMs,
-      reason: isAtRest ? 'resting' : 'returning',
+      reason: areAllResting ? 'resting' : 'returning',
       limitPerSecond: 0,
     };
   }
 
-  /** For a request that leaves the permits to those that go before it. */
+  /** For a request whose permits go to the requests queued before it. */
   unavailabilityForQueued(service: string, now: number): Unavailability {
     const limitPerSecond = this.totalLimitOf(this.ofService(service, now));
     return {waitMs: 0, reason: 'limited', limitPerSecond};
   }
 
-  /** Requests a second that some targets have said that they take. */
-  private totalLimitOf(some: readonly Target[]): number {
-    return some.reduce(
+  /** Sum of the targets' rate limits, in requests per second. */
+  private totalLimitOf(targets: readonly Target[]): number {
+    return targets.reduce(
       (sum, one) => sum + (this.limits.perSecond(one.lifetime) ?? 0),
       0,
     );
   }
 
-  /** All targets that may get work. */
+  /** All listed targets. */
   all(): Target[] {
-    return [...this.listed.values()].map(held => held.target);
+    return [...this.listed.values()].map(entry => entry.target);
   }
 
   /** Targets that are ranks of groups. */
@@ -329,7 +316,7 @@
     return this.listed.size;
   }
 
-  /** Lists of before hold until a target comes, goes or is given up. */
+  /** Usable targets by service, cached until a target changes or expires. */
   private byServiceAt(now: number): ReadonlyMap<string, readonly Target[]> {
     if (this.byService === undefined || now >= this.byServiceUntil) {
       const entries = [...this.listed.values()];
@@ -349,6 +336,7 @@
     return this.byService;
   }
 
+  /** A dead process's entry may remain beside its successor's at one address. */
   private newestAtAddresses(): Target[] {
     const newest = new Map<string, Target>();
     for (const {target} of this.listed.values()) {
@@ -370,14 +358,14 @@
     return this.listed.get(id)?.target.lifetime === lifetime;
   }
 
-  /** A lifetime is over for good. */
+  /** Ends a lifetime for good. */
   private end(target: Target): void {
     this.listed.delete(target.id);
     this.invalidateCaches();
     this.markEnded(target.lifetime);
   }
 
-  /** A late word of a lifetime that has ended doesn't bring it back. */
+  /** Later entries and responses of the lifetime are ignored. */
   private markEnded(lifetime: string): void {
     this.cooldowns.forget(lifetime);
     this.limits.forget(lifetime);
@@ -387,16 +375,16 @@
   }
 
   private removeOrExpire(
-    held: ListedTarget,
+    entry: ListedTarget,
     now: number,
     inGrace: boolean,
   ): void {
     if (!inGrace) {
-      this.drop(held.target);
-    } else if (held.expiresAt === Infinity) {
-      held.expiresAt = now + LAPSE_GRACE_MS;
+      this.drop(entry.target);
+    } else if (entry.expiresAt === Infinity) {
+      entry.expiresAt = now + LAPSE_GRACE_MS;
       this.invalidateCaches();
-      this.onChange({kind: 'missing', target: held.target});
+      this.onChange({kind: 'missing', target: entry.target});
     }
   }
 }
--- a/src/routing/policy.ts
+++ b/src/routing/policy.ts
@@ -1,19 +1,19 @@
-/** The ways to choose a target: ours, and the plain ones to beat. */
+/** Routing policies: the scored one, and simple ones for comparison. */
 import * as random from '../random';
 import * as rendezvous from './rendezvous';
 import * as scoring from './score';
 import * as types from './types';
 
-/** Rendezvous homes of a prompt prefix that are always weighed. */
+/** Candidates that rendezvous hashing assigns to the prompt prefix. */
 const HOME_CANDIDATES = 2;
-/** Candidates besides, drawn at random. */
+/** Additional candidates, drawn at random. */
 const RANDOM_CANDIDATES = 2;
-/** Candidates besides, because they are believed to hold the prefix. */
+/** Additional candidates that are estimated to have the prefix cached. */
 const CACHED_CANDIDATES = 2;
 
 /**
- * Weighs the prefix's homes, its believed holders and a random sample, and
- * takes the lowest score. Never weighs all targets.
+ * Scores the prefix's rendezvous targets, those estimated to have it cached and
+ * a random sample, and chooses the lowest score.
  */
 export class ScoredPolicy extends types.Policy {
   constructor(private readonly settings: () => scoring.ScoreSettings) {
@@ -56,7 +56,7 @@
   return [...few];
 }
 
-/** Any target, evenly. */
+/** A uniformly random target. */
 export class RandomPolicy extends types.Policy {
   choose(
     _request: types.RoutedRequest,
@@ -80,7 +80,7 @@
   }
 }
 
-/** The target with the fewest of this entry's own requests. */
+/** The target with the fewest requests in flight from this entry. */
 export class LeastOutstandingPolicy extends types.Policy {
   choose(
     _request: types.RoutedRequest,
--- a/src/routing/prefix-index.ts
+++ b/src/routing/prefix-index.ts
@@ -1,23 +1,22 @@
 /**
- * Which targets are believed to hold which prompt prefixes, from what this
- * entry sent and from cache events. Bounded, and least recently used goes
- * first: a wrong belief costs one prefill.
+ * Estimates which targets have which prompt prefixes cached, from this entry's
+ * requests and from cache events. Bounded: the prefix that was sent least
+ * recently is dropped first. A wrong estimate costs one prefill.
  */
 import {createHash} from 'node:crypto';
 
-/** Characters that one token stands for, on average. */
+/** Average characters per token. */
 const CHARACTERS_PER_TOKEN = 4;
-/** Characters of the prompt whose digest names its prefix. */
+/** Length of a prefix in characters. */
 const PREFIX_CHARACTERS = 1_024;
 const MAX_PREFIXES = 4_096;
 const MAX_HOLDERS_PER_PREFIX = 4;
 
-/** Tokens of a text, estimated. */
 export function estimateTokens(text: string): number {
   return Math.ceil(text.length / CHARACTERS_PER_TOKEN);
 }
 
-/** The name of a prompt's prefix. */
+/** Identifies a prompt's prefix. */
 export function digestPrefix(prompt: string): string {
   return createHash('sha256')
     .update(prompt.slice(0, PREFIX_CHARACTERS))
@@ -32,13 +31,13 @@
 export class PrefixIndex {
   private readonly byPrefix = new Map<string, Holder[]>();
 
-  /** Prompt tokens that a target is believed to hold. */
+  /** Prompt tokens that a target is estimated to have cached. */
   cachedTokensAt(prefix: string, id: string): number {
     const holders = this.byPrefix.get(prefix) ?? [];
     return holders.find(holder => holder.id === id)?.tokens ?? 0;
   }
 
-  /** Notes that a target has read a prompt. */
+  /** Records that a prompt of `tokens` was sent to a target. */
   noteSent(prefix: string, id: string, tokens: number): void {
     const held = this.byPrefix.get(prefix) ?? [];
     const others = held.filter(holder => holder.id !== id);
@@ -50,7 +49,7 @@
     this.evict();
   }
 
-  /** Notes that a target has dropped a prefix. */
+  /** Records that a target has evicted a prefix. */
   noteEvicted(prefix: string, id: string): void {
     const held = this.byPrefix.get(prefix) ?? [];
     this.byPrefix.set(
--- a/src/routing/rendezvous.ts
+++ b/src/routing/rendezvous.ts
@@ -1,15 +1,14 @@
 /**
- * Highest-random-weight hashing: each key ranks all members on its own, so
- * a member that comes or goes moves only the keys that it had or gets.
+ * Rendezvous (highest random weight) hashing: adding or removing a member moves
+ * only the keys assigned to it.
  */
 import * as murmurhash from 'murmurhash';
 
-/** The weight of a member for a key. */
 export function weightOf(key: string, member: string): number {
   return murmurhash.v3(member, murmurhash.v3(key));
 }
 
-/** Members from the highest weight for the key to the lowest. */
+/** Members by descending weight for the key. */
 export function rankByKey<T>(
   key: string,
   members: readonly T[],
@@ -26,7 +25,7 @@
   return weighed.map(entry => entry.member);
 }
 
-/** The `count` members with the highest weights for the key. */
+/** The `count` members with the highest weights for the key, best first. */
 export function topByKey<T>(
   key: string,
   members: readonly T[],
--- a/src/routing/score.ts
+++ b/src/routing/score.ts
@@ -1,18 +1,18 @@
 /**
- * The score of a candidate: milliseconds that the request, and the group's
- * other requests through it, would lose there.
+ * Scores a candidate: estimated milliseconds that the request, and the group's
+ * other requests because of it, would lose there.
  */
 import type {Candidate, RoutedRequest, Scored} from './types';
 
 /** Weights of the score. */
 export interface ScoreSettings {
-  /** Time to read one prompt token. */
+  /** Prefill time per prompt token. */
   readonly prefillMsPerToken: number;
-  /** What a hop to another hall costs, both ways. */
+  /** Round trip to another hall. */
   readonly hallMs: number;
-  /** Steps for which a slow rank's excess is charged to the request. */
+  /** Steps over which a slow rank's excess time counts. */
   readonly skewSteps: number;
-  /** Time that a report older than this is trusted with, in full. */
+  /** Age of a load report at which its wait counts half. */
   readonly halfLifeMs: number;
 }
 
@@ -23,7 +23,7 @@
   halfLifeMs: 1_000,
 };
 
-/** Scores one candidate; the lowest is the best. */
+/** Scores one candidate; lower is better. */
 export function score(
   request: RoutedRequest,
   candidate: Candidate,
@@ -43,17 +43,17 @@
   };
 }
 
-/** The reported wait fades with its age; what was sent since is added. */
+/** The reported wait, decayed by age, plus the requests sent since. */
 function waitMsOf(candidate: Candidate, cfg: ScoreSettings): number {
   const {load} = candidate;
-  const trust = 0.5 ** (candidate.loadAgeMs / cfg.halfLifeMs);
+  const weight = 0.5 ** (candidate.loadAgeMs / cfg.halfLifeMs);
   const own = Math.max(candidate.unreported, 0);
-  const seats = Math.max(load.capacity, 1);
+  const capacity = Math.max(load.capacity, 1);
   const perRequestMs = Math.max(load.stepMs, 1);
   const running = Math.max(load.running, candidate.inFlight);
-  const share = (running + own) / seats;
-  const isFull = share >= 1 ? (share - 1) * seats * perRequestMs : 0;
-  return load.waitMs * trust + share * perRequestMs + isFull;
+  const share = (running + own) / capacity;
+  const overflowMs = share >= 1 ? (share - 1) * capacity * perRequestMs : 0;
+  return load.waitMs * weight + share * perRequestMs + overflowMs;
 }
 
 function prefillMsOf(
@@ -67,8 +67,8 @@
 }
 
 /**
- * How much a rank exceeds the rest of its group's step: work added to the
- * slowest rank makes every request of the group wait.
+ * Milliseconds by which a rank's part nears or exceeds its group's step: work
+ * added to the slowest rank delays every request of the group.
  */
 function stepExcessMsOf(candidate: Candidate): number {
   const {rankMs, stepMs} = candidate.load;
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -1,7 +1,7 @@
-/** What a routing decision is made from. */
+/** Inputs and outputs of routing policies. */
 import type {Load} from '../targets/types';
 
-/** A target that could take the request. */
+/** A target that may be chosen. */
 export interface Candidate {
   readonly id: string;
   readonly group: string;
@@ -9,26 +9,27 @@
   readonly load: Load;
   /** Milliseconds since the load was reported. */
   readonly loadAgeMs: number;
-  /** Sent by this entry since the report. */
+  /** Requests that this entry has sent since the report. */
   readonly unreported: number;
+  /** Prompt tokens that this entry has sent since the report. */
   readonly unreportedTokens: number;
-  /** This entry's requests that are at the target now. */
+  /** This entry's requests in flight to the target. */
   readonly inFlight: number;
-  /** Prompt tokens that the target is believed to hold. */
+  /** Prompt tokens that the target is estimated to have cached. */
   readonly cachedTokens: number;
 }
 
 /** A request to be routed. */
 export interface RoutedRequest {
   readonly account: string;
-  /** Digest of the prompt's first part; empty for plain services. */
+  /** Digest of the prompt's prefix; empty for services without prompts. */
   readonly prefix: string;
   readonly promptTokens: number;
   /** The entry's own hall. */
   readonly hall: string;
 }
 
-/** A candidate with the parts of its score; all in milliseconds. */
+/** A candidate's score and its parts, in milliseconds. Stored as it is. */
 export interface Scored {
   readonly id: string;
   readonly score: number;
@@ -38,15 +39,13 @@
   readonly hallMs: number;
 }
 
-/** A decision, and what was weighed for it. */
 export interface Decision {
   readonly chosen: string;
   readonly weighed: readonly Scored[];
 }
 
-/** A way to choose a target. */
 export abstract class Policy {
-  /** Candidates are not empty. */
+  /** `candidates` must not be empty. */
   abstract choose(
     request: RoutedRequest,
     candidates: readonly Candidate[],
