--- a/src/forwarding/target-list.test.ts
+++ b/src/forwarding/target-list.test.ts
@@ -172,7 +172,7 @@
     list.remove('a', 100, false);
     list.add(target('a'));
     expect(ids(list, 2_999)).toEqual([]);
-    expect(list.unavailabilityOf('s', 2_999)).toMatchObject({why: 'resting'});
+    expect(list.unavailabilityOf('s', 2_999)).toMatchObject({reason: 'resting'});
     expect(ids(list, 3_301)).toEqual(['a']);
   });
 });
