--- a/src/forwarding/event-splitter.test.ts
+++ b/src/forwarding/event-splitter.test.ts
@@ -3,8 +3,8 @@
 
 const WHOLE = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\nid: 3\n\n';
 
-describe('cutting a stream into events', () => {
-  it('changes no byte, however the stream is cut', () => {
+describe('splitting a stream into events', () => {
+  it('preserves all bytes, however the stream is chunked', () => {
     const bytes = Buffer.from(WHOLE + 'id: 4\ndata: half');
     fc.assert(
       fc.property(
@@ -28,7 +28,7 @@
     );
   });
 
-  it('goes on whole after what broke off was dropped', () => {
+  it('continues with complete events after an incomplete one was dropped', () => {
     const splitter = new EventSplitter();
     splitter.push(Buffer.from('id: 1\n\nid: 2\nda'));
     splitter.discardPartial();
--- a/src/forwarding/group-choice.test.ts
+++ b/src/forwarding/group-choice.test.ts
@@ -36,7 +36,7 @@
 describe('choosing a group', () => {
   beforeEach(() => random.seed(5));
 
-  it('takes each target with those of its group', () => {
+  it('groups targets by their group', () => {
     const targets = [rank('a', 0), rank('b', 0), rank('a', 1)];
     expect(groupsOf(targets)).toEqual([
       {name: 'a', targets: [targets[0], targets[2]]},
@@ -44,9 +44,7 @@
     ]);
   });
 
-  // A site that has come back: one group opened first and is full, one is just
-  // about to be, one has hardly begun.
-  it('sends nothing to a full group, and most to the one with most room', () => {
+  it('sends nothing to a full group, and most to the emptiest one', () => {
     const chosen = counts([
       option('full', 160, 420),
       option('nearly', 160, 150),
@@ -57,13 +55,13 @@
     expect(chosen.nearly).toBeGreaterThan(30);
   });
 
-  it('finds none where all are full', () => {
+  it('chooses none if all are full', () => {
     const options = [option('a', 100, 100), option('b', 100, 130)];
     expect(counts(options)).toEqual({none: 1_000});
     expect(leastLoaded(options)?.requests).toBe(100);
   });
 
-  it('takes targets without a group as they are', () => {
+  it('treats targets without a group as one without a limit', () => {
     const [plain] = groupsOf([rank(undefined, 0), rank(undefined, 1)]);
     expect(chooseGroup([{...plain!, capacity: undefined}])).toMatchObject(
       plain!,
--- a/src/forwarding/group-gate.test.ts
+++ b/src/forwarding/group-gate.test.ts
@@ -11,14 +11,14 @@
     return gate;
   }
 
-  it('stays open where one rank is full', () => {
+  it('stays open if only one rank refuses', () => {
     const gate = new GroupGate();
     expect(gate.noteRefused('g', 'a', 0)).toBe(false);
     expect(gate.noteRefused('g', 'a', 10)).toBe(false);
     expect(gate.tryEnter('g', 20)).toBe(true);
   });
 
-  it('stays open where another rank takes requests', () => {
+  it('stays open if another rank accepts requests', () => {
     const gate = new GroupGate();
     gate.noteRefused('g', 'a', 0);
     gate.noteAccepted('g', 12);
@@ -26,14 +26,14 @@
     expect(gate.closedMs('g', 20)).toBe(0);
   });
 
-  it('closes where two ranks refuse one after the other', () => {
+  it('closes if two ranks refuse in succession', () => {
     const gate = closedAt(100);
     expect(gate.closedMs('g', 130)).toBe(30);
     expect(gate.closedMs('other', 130)).toBe(0);
     expect(gate.closedMs(undefined, 130)).toBe(0);
   });
 
-  it('lets one request in at a time to find out', () => {
+  it('admits one probe per interval while closed', () => {
     const gate = closedAt(100);
     expect(gate.tryEnter('g', 160)).toBe(true);
     expect(gate.tryEnter('g', 161)).toBe(false);
@@ -44,7 +44,7 @@
     expect(gate.tryEnter('g', 221)).toBe(true);
   });
 
-  it('wakes those that wait when it opens', async () => {
+  it('ends waits when it opens and at abort', async () => {
     const gate = closedAt(performance.now());
     const woken = gate.waitForOpenOrProbe('g', never);
     gate.noteAccepted('g', 12);
@@ -58,7 +58,7 @@
     await gone;
   });
 
-  it('sends nobody to find out while a sidecar tells that it is closed', () => {
+  it('admits no probe while a sidecar reports it closed', () => {
     const gate = new GroupGate();
     expect(gate.noteReport('g', false, 100)).toBe('closed');
     expect(gate.noteReport('g', false, 500)).toBe('known');
@@ -70,14 +70,14 @@
     expect(gate.hasBeenOpen('g')).toBe(true);
   });
 
-  it('finds out again once sidecars have fallen silent', () => {
+  it('admits probes again once reports have ceased', () => {
     const gate = new GroupGate();
     gate.noteReport('g', false, 100);
     expect(gate.tryEnter('g', 900)).toBe(true);
     expect(gate.tryEnter('g', 901)).toBe(false);
   });
 
-  it('passes over word that is older than what a request found out', () => {
+  it('ignores reports older than the outcome of a request', () => {
     const gate = closedAt(100);
     gate.noteReport('g', true, 90);
     expect(gate.closedMs('g', 130)).toBe(30);
@@ -87,19 +87,19 @@
     expect(gate.noteReport('g', false, 160)).toBe('closed');
   });
 
-  it('forgets a closing that nobody has tried for long', () => {
+  it('opens after a time without probes', () => {
     const gate = closedAt(100);
     expect(gate.closedMs('g', 2_000)).toBe(0);
   });
 });
 
-describe('telling later tries from first ones', () => {
-  it('goes by the time that is left', () => {
+describe('detecting retries', () => {
+  it('compares the time left with that of other callers', () => {
     const ages = new RetryDetector();
     expect(ages.isLikelyRetry('r', 8_017, 8_000)).toBe(false);
     expect(ages.isLikelyRetry('r', 8_010, 8_000)).toBe(false);
     expect(ages.isLikelyRetry('r', 6_400, 8_000)).toBe(true);
-    // Callers that wait longer than the route allows are known by others.
+    // Above the route's timeout, callers are compared with each other.
     expect(ages.isLikelyRetry('q', 1_500, 800)).toBe(false);
     expect(ages.isLikelyRetry('q', 1_100, 800)).toBe(true);
   });
--- a/src/forwarding/group-views.test.ts
+++ b/src/forwarding/group-views.test.ts
@@ -45,9 +45,9 @@
   rank: at,
 }));
 
-/** Answers of sidecars, one a call; then none for good. */
-function tell(answers: readonly object[]): RpcClient {
-  const left = [...answers];
+/** A client that returns one response per call, then never responds. */
+function respondWith(responses: readonly object[]): RpcClient {
+  const left = [...responses];
   const call = () => {
     const next = left.shift();
     return next === undefined
@@ -57,9 +57,9 @@
   return {call} as unknown as RpcClient;
 }
 
-async function viewsAfter(answers: readonly object[]): Promise<GroupViews> {
+async function viewsAfter(responses: readonly object[]): Promise<GroupViews> {
   const views = new GroupViews({
-    rpc: tell(answers),
+    rpc: respondWith(responses),
     reach: new Reach(),
     hall: 'h',
     rpcPort: 1,
@@ -82,32 +82,31 @@
   slow: [],
 };
 
-describe('the room of a group', () => {
-  it('is what its planner tells, and what this entry sent since', async () => {
+describe('the capacity of a group', () => {
+  it('follows from the view and from what this entry sent since', async () => {
     const views = await viewsAfter([{known: {view: VIEW, ageMs: 0}, ...OPEN}]);
-    const room = views.capacityOf(
+    const capacity = views.capacityOf(
       ranks[0]!,
       ENGINE,
       PAUSE_MS,
       performance.now(),
     );
-    expect(room).toMatchObject({requests: 72, imbalance: 1.2});
-    expect(room.most).toBeGreaterThan(160);
+    expect(capacity).toMatchObject({requests: 72, imbalance: 1.2});
+    expect(capacity.most).toBeGreaterThan(160);
     views.close();
   });
 
-  // It had none: what opened first after a loss of power was sent 420 requests
-  // for its 168 places.
-  it('has a limit where a group has just opened and nothing is told', async () => {
+  // Guards against overloading the first group that opens after an outage.
+  it('is limited if a group has just opened and there is no view', async () => {
     const views = await viewsAfter([{seen: {isOpen: false, ageMs: 0}}, OPEN]);
-    const room = views.capacityOf(
+    const capacity = views.capacityOf(
       ranks[0]!,
       ENGINE,
       PAUSE_MS,
       performance.now(),
     );
-    expect(room.requests).toBe((RANKS / 4) * ENTRIES);
-    expect(room.most).toBeLessThan(120);
+    expect(capacity.requests).toBe((RANKS / 4) * ENTRIES);
+    expect(capacity.most).toBeLessThan(120);
     const later = performance.now() + 3_000;
     const settled = views.capacityOf(ranks[0]!, ENGINE, PAUSE_MS, later);
     expect(settled.most).toBeGreaterThan(150);
--- a/src/forwarding/group-views.ts
+++ b/src/forwarding/group-views.ts
@@ -18,14 +18,14 @@
 const POLL_PAUSE_MS = 20;
 /** Mean pause after a poll that returned nothing. */
 const FAILED_POLL_PAUSE_MS = 150;
-/** Time that a sidecar waits for a new view; longer than a planner's interval. */
+/** Time that a sidecar waits for a new view. Longer than a planner's interval. */
 const LONG_POLL_MS = 400;
 /** Time allowed for the response beyond the long poll. */
 const RESPONSE_MARGIN_MS = 120;
 /** Older views are ignored. */
 const MAX_VIEW_AGE_MS = 900;
 const NO_RANK = -1;
-/** Maximum factor by which this entry's requests are scaled up to all entries'. */
+/** Maximum ratio of all entries' requests to this entry's. */
 const MAX_ENTRIES = 16;
 
 interface ReceivedView {
@@ -41,7 +41,7 @@
  * round-robin, regardless of load.
  */
 const NEW_GROUP_IMBALANCE = 3.5;
-/** Time after opening for which a group without a view counts as just formed. */
+/** Time after opening in which a group without a view counts as new. */
 const NEW_GROUP_MS = 2_000;
 /** Assumed imbalance of other groups without a view. */
 const DEFAULT_IMBALANCE = 1.5;
@@ -225,7 +225,7 @@
     this.openedAt.delete(key);
   }
 
-  /** Polls one sidecar, of the own hall if possible; false if it told nothing. */
+  /** Polls one sidecar, if possible in the same hall; false without a result. */
   private async poll(key: string, ranks: readonly Target[]): Promise<boolean> {
     const {rpc, hall, rpcPort} = this.context;
     const near = ranks.filter(rank => rank.hall === hall);
--- a/src/forwarding/load-balancer.test.ts
+++ b/src/forwarding/load-balancer.test.ts
@@ -4,13 +4,10 @@
 
 const ENTRIES = 35;
 const RANKS = 129;
-/** Requests a second of all entries. */
-const RATE = 219;
-/** Milliseconds that a request takes, at the mean. */
-const TIME_MS = 1_300;
-/** Milliseconds between the news that all entries are told. */
-const NEWS_MS = 200;
-const PLAYED_MS = 60_000;
+const REQUESTS_PER_SECOND = 219;
+const MEAN_DURATION_MS = 1_300;
+const REPORT_INTERVAL_MS = 200;
+const SIMULATED_MS = 60_000;
 
 const ranks: Target[] = Array.from({length: RANKS}, (_, rank) => ({
   id: `t${rank}`,
@@ -26,16 +23,16 @@
   rank,
 }));
 
-/** What an entry was told, and what it did since. */
-class LateNews implements LoadReports {
-  private told = new Int32Array(RANKS);
-  private readonly ownThen = new Map<string, number>();
+/** Periodic load reports, corrected by the entry's own requests since. */
+class DelayedReports implements LoadReports {
+  private reported = new Int32Array(RANKS);
+  private readonly ownAtReport = new Map<string, number>();
   inFlight: (lifetime: string) => number = () => 0;
 
-  tell(told: Int32Array): void {
-    this.told = Int32Array.from(told);
+  report(reported: Int32Array): void {
+    this.reported = Int32Array.from(reported);
     ranks.forEach(({lifetime}) =>
-      this.ownThen.set(lifetime, this.inFlight(lifetime)),
+      this.ownAtReport.set(lifetime, this.inFlight(lifetime)),
     );
   }
 
@@ -44,54 +41,62 @@
   }
 
   requestsAt({lifetime, rank}: Target): number {
-    const own = this.inFlight(lifetime) - (this.ownThen.get(lifetime) ?? 0);
-    return Math.max(this.told[rank!]! + own, 0);
+    const own = this.inFlight(lifetime) - (this.ownAtReport.get(lifetime) ?? 0);
+    return Math.max(this.reported[rank!]! + own, 0);
   }
 }
 
-interface End {
+interface RequestEnd {
   readonly at: number;
-  readonly loads: LoadBalancer;
+  readonly balancer: LoadBalancer;
   readonly rank: number;
 }
 
-/** Share of requests that come to a rank as its sixth or later. */
-function playEntries(): number {
+/** Simulates the entries; share of requests sent to a rank with five others. */
+function simulateEntries(): number {
   const entries = Array.from({length: ENTRIES}, (_, at) => {
-    const news = new LateNews();
-    const loads = new LoadBalancer(`hall-${at % 5}`, news);
-    news.inFlight = lifetime => loads.inFlight(lifetime);
-    return {news, loads};
+    const reports = new DelayedReports();
+    const balancer = new LoadBalancer(`hall-${at % 5}`, reports);
+    reports.inFlight = lifetime => balancer.inFlight(lifetime);
+    return {reports, balancer};
   });
   const requests = new Int32Array(RANKS);
-  let ends: End[] = [];
-  let newsAt = 0;
-  let crowded = 0;
+  let ends: RequestEnd[] = [];
+  let nextReportAt = 0;
+  let overloading = 0;
   let sent = 0;
-  for (let now = 0; now < PLAYED_MS; now += random.exponential(1_000 / RATE)) {
+  for (
+    let now = 0;
+    now < SIMULATED_MS;
+    now += random.exponential(1_000 / REQUESTS_PER_SECOND)
+  ) {
     for (const end of ends.filter(one => one.at <= now)) {
       requests[end.rank]! -= 1;
-      end.loads.end(ranks[end.rank]!, 0, now);
+      end.balancer.end(ranks[end.rank]!, 0, now);
     }
     ends = ends.filter(one => one.at > now);
-    if (now >= newsAt) {
-      newsAt += NEWS_MS;
-      entries.forEach(({news}) => news.tell(requests));
+    if (now >= nextReportAt) {
+      nextReportAt += REPORT_INTERVAL_MS;
+      entries.forEach(({reports}) => reports.report(requests));
     }
-    const {loads} = random.pick(entries);
-    const {lifetime, rank} = loads.choose(ranks, now)!;
-    loads.begin(lifetime);
+    const {balancer} = random.pick(entries);
+    const {lifetime, rank} = balancer.choose(ranks, now)!;
+    balancer.begin(lifetime);
     requests[rank!]! += 1;
-    ends.push({at: now + random.jitter(TIME_MS), loads, rank: rank!});
+    ends.push({
+      at: now + random.jitter(MEAN_DURATION_MS),
+      balancer,
+      rank: rank!,
+    });
     sent += 1;
-    crowded += requests[rank!]! > 5 ? 1 : 0;
+    overloading += requests[rank!]! > 5 ? 1 : 0;
   }
-  return crowded / sent;
+  return overloading / sent;
 }
 
-describe('choosing a rank by news that all entries are told late', () => {
-  it('seldom crowds a rank: 0.002 of requests, 0.04 before', () => {
+describe('choosing a rank by delayed load reports', () => {
+  it('rarely overloads a rank', () => {
     random.seed(11);
-    expect(playEntries()).toBeLessThan(0.005);
+    expect(simulateEntries()).toBeLessThan(0.005);
   });
 });
--- a/src/forwarding/outcomes.test.ts
+++ b/src/forwarding/outcomes.test.ts
@@ -1,9 +1,8 @@
 import * as outcomes from './outcomes';
 
 describe('whether a send may have run', () => {
-  // A request whose only send ended for time before it left was told 502, which
-  // says that it may have run, and could not be repeated.
-  it('is no where nothing was sent', () => {
+  // Guards against telling a caller that an unsent request may have run.
+  it('is false if nothing was sent or the target refused', () => {
     expect(outcomes.mayHaveRun({kind: 'timed-out', sent: false})).toBe(false);
     expect(outcomes.mayHaveRun({kind: 'not-run', status: 503})).toBe(false);
     expect(outcomes.mayHaveRun({kind: 'not-run', status: undefined})).toBe(
@@ -11,7 +10,7 @@
     );
   });
 
-  it('is yes where nobody can say that it has not', () => {
+  it('is true if it is not certain that it did not run', () => {
     expect(outcomes.mayHaveRun({kind: 'timed-out', sent: true})).toBe(true);
     expect(outcomes.mayHaveRun({kind: 'cancelled'})).toBe(true);
     expect(outcomes.mayHaveRun({kind: 'unknown', why: 'connection-lost'})).toBe(
--- a/src/forwarding/permit-queues.test.ts
+++ b/src/forwarding/permit-queues.test.ts
@@ -1,12 +1,12 @@
 import {PermitQueues} from './permit-queues';
 
-describe('who waits for permits', () => {
-  it('goes by urgency, then by time', () => {
-    const lines = new PermitQueues();
+describe('the queue for permits', () => {
+  it('is ordered by priority, then by arrival', () => {
+    const queues = new PermitQueues();
     const [late, early, urgent] = [
-      lines.positionFor('s', 2),
-      lines.positionFor('s', 2),
-      lines.positionFor('s', 0),
+      queues.positionFor('s', 2),
+      queues.positionFor('s', 2),
+      queues.positionFor('s', 0),
     ];
     early.join();
     late.join();
@@ -24,11 +24,11 @@
     expect(late.aheadCount).toBe(0);
   });
 
-  it('stands behind those of its service only, before it waits too', () => {
-    const lines = new PermitQueues();
-    lines.positionFor('s', 1).join();
-    expect(lines.positionFor('s', 1).aheadCount).toBe(1);
-    expect(lines.positionFor('s', 0).aheadCount).toBe(0);
-    expect(lines.positionFor('other', 1).aheadCount).toBe(0);
+  it('counts requests of the same service, also before joining', () => {
+    const queues = new PermitQueues();
+    queues.positionFor('s', 1).join();
+    expect(queues.positionFor('s', 1).aheadCount).toBe(1);
+    expect(queues.positionFor('s', 0).aheadCount).toBe(0);
+    expect(queues.positionFor('other', 1).aheadCount).toBe(0);
   });
 });
--- a/src/forwarding/refusal-builder.ts
+++ b/src/forwarding/refusal-builder.ts
@@ -3,7 +3,7 @@
 import type {Metrics} from '../observability/metrics';
 import type {CurrentConfiguration} from '../routes/current';
 import type {Call} from './call';
-import * as comeBack from './retry-delays';
+import * as retryDelays from './retry-delays';
 import type {GroupGate} from './group-gate';
 import type {GroupCapacity} from './group-views';
 import {RetrySchedule} from './retry-schedule';
@@ -38,7 +38,7 @@
   ): types.Refusal {
     const {configuration, gate} = this.context;
     const found = configuration.table?.findService(service);
-    const retryMs = comeBack.afterGroupClosed(
+    const retryMs = retryDelays.afterGroupClosed(
       {
         closedMs: gate.closedMs(group, now),
         formMs: found?.engine?.experts?.formMs ?? 0,
@@ -58,7 +58,7 @@
       service,
       digest,
     });
-    const retryMs = comeBack.afterCrashes(call.callerTimeLeftMs);
+    const retryMs = retryDelays.afterCrashes(call.callerTimeLeftMs);
     return {kind: 'not-run', why: 'crashes-targets', retryMs};
   }
 
@@ -76,7 +76,7 @@
       isLater: call.isLikelyRetry,
       ...capacity,
     });
-    const retryMs = comeBack.afterOverload(call.timeLeftMs);
+    const retryMs = retryDelays.afterOverload(call.timeLeftMs);
     return {kind: 'not-run', why: 'overloaded', retryMs};
   }
 
@@ -90,7 +90,7 @@
       ? {
           kind: 'not-run',
           why: 'target-full',
-          retryMs: comeBack.afterFull(call.timeLeftMs),
+          retryMs: retryDelays.afterFull(call.timeLeftMs),
         }
       : this.unavailable(call, service, cause);
   }
@@ -122,7 +122,10 @@
     service: string,
     cause: Unavailability,
   ): types.Refusal {
-    const retryMs = comeBack.afterCooldown(cause.waitMs, call.callerTimeLeftMs);
+    const retryMs = retryDelays.afterCooldown(
+      cause.waitMs,
+      call.callerTimeLeftMs,
+    );
     this.context.metrics.count('rest_refusals_total', {service});
     this.context.log.event('requestRefused', {
       request: call.head?.id,
@@ -149,7 +152,7 @@
       spacingMs,
       now,
     );
-    const retryMs = comeBack.afterLimit(lineMs, call.callerTimeLeftMs);
+    const retryMs = retryDelays.afterLimit(lineMs, call.callerTimeLeftMs);
     this.context.metrics.count('limit_refusals_total', {service});
     this.context.log.event('requestRefused', {
       request: call.head?.id,
@@ -166,7 +169,7 @@
     return {
       kind: 'not-run',
       why: 'no-target',
-      retryMs: comeBack.NO_TARGET_DELAY_MS,
+      retryMs: retryDelays.NO_TARGET_DELAY_MS,
     };
   }
 }
--- a/src/forwarding/relay.ts
+++ b/src/forwarding/relay.ts
@@ -1,6 +1,6 @@
 /** Sending, retrying and refusing, common to plain requests and streams. */
 import type {Call} from './call';
-import * as comeBack from './retry-delays';
+import * as retryDelays from './retry-delays';
 import * as exchanges from './exchange';
 import type {ForwarderContext} from './forwarder';
 import {OutcomeObserver} from './outcome-observer';
@@ -240,7 +240,7 @@
             : {
                 kind: 'not-run',
                 why: 'timed-out',
-                retryMs: comeBack.afterFull(call.timeLeftMs),
+                retryMs: retryDelays.afterFull(call.timeLeftMs),
               },
         );
         return;
--- a/src/forwarding/relayed-request.ts
+++ b/src/forwarding/relayed-request.ts
@@ -16,7 +16,7 @@
 /** Cached, so that a body is hashed once, however often it is sent. */
 const digests = new WeakMap<RelayedRequest, string>();
 
-/** Identifies equal requests: digest of method, host, path, caller's key and body. */
+/** Identifies equal requests, by method, host, path, caller's key and body. */
 export function digestOf(request: RelayedRequest): string {
   let digest = digests.get(request);
   if (digest === undefined) {
--- a/src/forwarding/retry-budget.test.ts
+++ b/src/forwarding/retry-budget.test.ts
@@ -2,8 +2,8 @@
 
 const SETTINGS = {share: 0.2, windowMs: 10_000, extra: 90};
 
-describe("an entry's part of the retries", () => {
-  it('stays under the share of its requests, and a little', () => {
+describe("an entry's retry budget", () => {
+  it('allows a share of its requests and a part of the extra', () => {
     const budget = new RetryBudget(() => SETTINGS);
     let drawn = 0;
     for (let at = 0; at < 100; at += 1) {
@@ -13,7 +13,7 @@
     expect(drawn).toBe(21);
   });
 
-  it('counts a window that slides', () => {
+  it('counts in a sliding window', () => {
     const budget = new RetryBudget(() => SETTINGS);
     expect([1, 2, 3, 4].map(at => budget.tryDraw(at))).toEqual([
       true,
@@ -26,7 +26,7 @@
   });
 
   it.each([4, 17, 35, 60])(
-    'keeps %i entries together under the extra, half of them unknown',
+    'keeps %i entries, half of them unknown, under the extra together',
     entries => {
       const known = () => Math.ceil(entries / 2);
       let drawn = 0;
--- a/src/forwarding/slow-ranks.test.ts
+++ b/src/forwarding/slow-ranks.test.ts
@@ -8,19 +8,19 @@
 }
 
 describe('streams on slow ranks', () => {
-  it('leave a rank that is far slower than the others, and only that', () => {
+  it('move off a rank that is much slower than the others, and only that one', () => {
     const view = viewOf([4, 3, 2], [{rank: 1, slowness: 12}]);
     expect(shouldMove(view, 1, SLOTS)).toBe(true);
     expect(shouldMove(view, 0, SLOTS)).toBe(false);
     expect(shouldMove(view, undefined, SLOTS)).toBe(false);
   });
 
-  it('stay where a move costs more than it brings', () => {
+  it('stay on a rank that is only slightly slower', () => {
     const view = viewOf([4, 3, 2], [{rank: 1, slowness: 1.6}]);
     expect(shouldMove(view, 1, SLOTS)).toBe(false);
   });
 
-  it('stay where the other ranks have no room for them', () => {
+  it('stay if the other ranks have no free slots for them', () => {
     const slow = [
       {rank: 0, slowness: 12},
       {rank: 1, slowness: 12},
--- a/src/forwarding/target-list.test.ts
+++ b/src/forwarding/target-list.test.ts
@@ -22,7 +22,7 @@
 }
 
 describe('the list of targets', () => {
-  it('gives a leaving target no more work, whatever comes later', () => {
+  it('removes a leaving target for good, whatever entries follow', () => {
     const list = new TargetList();
     list.add(target('a'));
     list.add(target('a', true));
@@ -32,7 +32,7 @@
     expect(ids(list, 0)).toEqual([]);
   });
 
-  it('drops a target that vanishes', () => {
+  it('removes a target whose entry is gone', () => {
     const list = new TargetList();
     list.replaceAll([target('a'), target('b')], 0, false);
     list.remove('a', 10, false);
@@ -40,7 +40,7 @@
     expect(ids(list, 20)).toEqual([]);
   });
 
-  it('keeps a target for a while whose entry lapsed in an outage', () => {
+  it('keeps a target whose entry lapsed in an outage for the grace period', () => {
     const list = new TargetList();
     list.replaceAll([target('a'), target('b')], 0, false);
     list.replaceAll([target('b')], 100, true);
@@ -48,7 +48,7 @@
     expect(ids(list, 100 + LAPSE_GRACE_MS)).toEqual(['b']);
   });
 
-  it('uses the newest life at an address, whatever its service', () => {
+  it('uses the newest lifetime at an address, whatever its service', () => {
     const list = new TargetList();
     list.add({...target('old'), address: 'x:1'});
     list.add({...target('new'), address: 'x:1', revision: 9});
@@ -64,7 +64,7 @@
     expect(ids(list, 0)).toEqual(['new']);
   });
 
-  it('forgets the grace of a target that is back', () => {
+  it('ends the grace period of a target whose entry is back', () => {
     const list = new TargetList();
     list.replaceAll([target('a')], 0, false);
     list.remove('a', 100, true);
@@ -72,37 +72,36 @@
     expect(ids(list, 100 + 2 * LAPSE_GRACE_MS)).toEqual(['a']);
   });
 
-  it('tells a target that started again from the one that left', () => {
+  it('distinguishes a restarted target from its ended lifetime', () => {
     const list = new TargetList();
-    const again = {...target('a'), lifetime: 'a@2', revision: 3};
+    const restarted = {...target('a'), lifetime: 'a@2', revision: 3};
     list.add(target('a'));
     list.add({...target('a', true), revision: 2});
-    list.add(again);
-    expect(list.ofService('s', 0)).toEqual([again]);
-    // Late, twice, and from who knows where.
+    list.add(restarted);
+    expect(list.ofService('s', 0)).toEqual([restarted]);
     list.add({...target('a'), revision: 9});
     list.add({...target('a', true), revision: 9});
-    list.replaceAll([{...target('a'), revision: 9}, again], 0, false);
-    expect(list.ofService('s', 0)).toEqual([again]);
+    list.replaceAll([{...target('a'), revision: 9}, restarted], 0, false);
+    expect(list.ofService('s', 0)).toEqual([restarted]);
   });
 
-  it('never goes back to an earlier lifetime', () => {
+  it('never returns to an earlier lifetime', () => {
     const list = new TargetList();
-    const again = {...target('a'), lifetime: 'a@2', revision: 3};
+    const restarted = {...target('a'), lifetime: 'a@2', revision: 3};
     list.add(target('a'));
-    list.add(again);
+    list.add(restarted);
     list.drop(target('a'));
     list.add(target('a'));
     list.add({...target('a', true), revision: 9});
-    expect(list.ofService('s', 0)).toEqual([again]);
-    // Starts are told in the time of day, which may jump back.
+    expect(list.ofService('s', 0)).toEqual([restarted]);
+    // A lifetime's start is wall-clock time, which may jump back.
     const third = {...target('a'), lifetime: 'a@0', revision: 5};
     list.add(third);
-    list.add(again);
+    list.add(restarted);
     expect(list.ofService('s', 0)).toEqual([third]);
   });
 
-  it('takes nothing that is older than what it holds', () => {
+  it('ignores an entry with a lower revision', () => {
     const list = new TargetList();
     const newer = {...target('a'), slots: 8, revision: 7};
     list.add(newer);
@@ -110,7 +109,7 @@
     expect(list.ofService('s', 0)).toEqual([newer]);
   });
 
-  it('keeps what is held under an entry that tells nothing', () => {
+  it('keeps targets whose entries could not be read', () => {
     const list = new TargetList();
     list.replaceAll([target('a'), target('b')], 0, false);
     list.replaceAll([target('b')], 10, false, ['a', 'x']);
@@ -119,7 +118,7 @@
     expect(ids(list, 20)).toEqual(['b']);
   });
 
-  it('lets no service that is not named take an address', () => {
+  it('ignores targets of unknown services at an address', () => {
     const list = new TargetList();
     const other = {...target('x'), service: 't', revision: 9};
     list.add({...target('a'), address: 'x:1'});
@@ -131,12 +130,12 @@
     expect(ids(list, 0)).toEqual([]);
   });
 
-  it('remembers a bounded number of lifetimes that have ended', () => {
+  it('remembers a bounded number of ended lifetimes', () => {
     const list = new TargetList();
     const ended = 10_000;
-    for (let life = 1; life <= ended; life += 1) {
-      const lifetime = `a@${life}`;
-      list.add({...target('a'), lifetime, revision: life});
+    for (let number = 1; number <= ended; number += 1) {
+      const lifetime = `a@${number}`;
+      list.add({...target('a'), lifetime, revision: number});
     }
     const kept = (list as unknown as {ended: Set<string>}).ended.size;
     expect(kept).toBeLessThan(ended / 2);
@@ -144,7 +143,7 @@
     expect(list.get('a')?.lifetime).toBe(`a@${ended}`);
   });
 
-  it('takes a target at its word that it leaves, also one that is off the list', () => {
+  it('ends the lifetime of a target that says it leaves, listed or not', () => {
     const list = new TargetList();
     list.replaceAll([target('a'), target('b')], 0, false);
     list.leave(target('a'));
@@ -154,7 +153,7 @@
     expect(ids(list, 2)).toEqual([]);
   });
 
-  it('takes a late word of a lifetime that has ended for that one alone', () => {
+  it('applies late responses of an ended lifetime to that lifetime only', () => {
     const list = new TargetList();
     const next = {...target('a'), lifetime: 'a@2', revision: 2};
     list.add(target('a'));
@@ -165,14 +164,16 @@
     expect(list.unavailabilityOf('s', 1)).toBeUndefined();
   });
 
-  it('holds a target back that is off the list and back in its rest', () => {
+  it('keeps the cooldown of a target that is removed and added again', () => {
     const list = new TargetList();
     list.add(target('a'));
     list.startCooldown(target('a'), 3_000, 0);
     list.remove('a', 100, false);
     list.add(target('a'));
     expect(ids(list, 2_999)).toEqual([]);
-    expect(list.unavailabilityOf('s', 2_999)).toMatchObject({reason: 'resting'});
+    expect(list.unavailabilityOf('s', 2_999)).toMatchObject({
+      reason: 'resting',
+    });
     expect(ids(list, 3_301)).toEqual(['a']);
   });
 });
--- a/src/forwarding/target-list.ts
+++ b/src/forwarding/target-list.ts
@@ -24,7 +24,7 @@
 /** Ended and removed lifetimes that are remembered to ignore outdated entries. */
 const MAX_ENDED_LIFETIMES = 4_096;
 
-/** Source of the news that a target is shutting down: its entry or a response. */
+/** What stated that a target is shutting down: its entry or a response. */
 export type LeavingSource = 'entry' | 'answer';
 
 /** A change of the list. */
@@ -216,7 +216,7 @@
     this.limits.noteSent(target.lifetime, now);
   }
 
-  /** A target accepted a request; true if that ends the trial after its cooldown. */
+  /** A target accepted a request; true if that ends its trial after a cooldown. */
   noteAccepted(target: Target, sentAt: number, now: number): boolean {
     return this.cooldowns.noteTaken(target.lifetime, sentAt, now);
   }
