--- a/src/forwarding/group-choice.test.ts
+++ b/src/forwarding/group-choice.test.ts
@@ -19,8 +19,8 @@
 }
 
 function option(name: string, most: number, requests: number): GroupOption {
-  const room = {most, requests, imbalance: 1, slowness: 1, ageMs: 0};
-  return {name, targets: [rank(name, 0)], capacity: room};
+  const capacity = {most, requests, imbalance: 1, slowness: 1, ageMs: 0};
+  return {name, targets: [rank(name, 0)], capacity};
 }
 
 /** How often each group is chosen. */
--- a/src/forwarding/group-request-limit.ts
+++ b/src/forwarding/group-request-limit.ts
@@ -45,26 +45,28 @@
 /** Milliseconds of a pass with `perRank` requests on each rank. */
 export function passMs(
   engine: EngineFigures,
-  pace: PassFactors,
+  factors: PassFactors,
   perRank: number,
 ): number {
   const share = engine.experts?.share ?? 0;
   const work = workMsPerPass(engine) * perRank;
   const fixed = engine.stepMs * engine.stride;
   const own = fixed + (1 - share) * work * FULLEST_RANK_RATIO;
-  return Math.max(own, fixed * pace.slowness) + share * work * pace.imbalance;
+  return (
+    Math.max(own, fixed * factors.slowness) + share * work * factors.imbalance
+  );
 }
 
 /** Requests that the group may process at once. */
 export function maxRequests(
   engine: EngineFigures,
-  pace: PassFactors,
+  factors: PassFactors,
   pauseMs: number,
 ): number {
-  const {size} = pace;
+  const {size} = factors;
   const totalSlots = engine.slots * size;
-  const emptyMs = passMs(engine, pace, 0);
-  const fullSlotsMs = passMs(engine, pace, engine.slots) - emptyMs;
+  const emptyMs = passMs(engine, factors, 0);
+  const fullSlotsMs = passMs(engine, factors, engine.slots) - emptyMs;
   const availableMs = pauseMs * PAUSE_SHARE - emptyMs;
   const withinPause =
     fullSlotsMs > 0 ? (availableMs / fullSlotsMs) * totalSlots : totalSlots;
--- a/src/forwarding/group-views.ts
+++ b/src/forwarding/group-views.ts
@@ -156,7 +156,7 @@
     const reported = sumOf(view.requests);
     const slowness = Math.max(1, ...view.slow.map(one => one.slowness));
     const {imbalance} = view;
-    const pace = {size: view.requests.length, imbalance, slowness};
+    const factors = {size: view.requests.length, imbalance, slowness};
     const own = sumOf([...this.ownInFlightOf(keyOf(target)).values()]);
     const ownAtReceipt = sumOf([...received.ownInFlight.values()]);
     // Assumes that the other entries' requests changed in proportion to ours.
@@ -166,7 +166,7 @@
     );
     const requests = reported + (own - ownAtReceipt) * scale;
     return {
-      most: limits.maxRequests(engine, pace, pauseMs),
+      most: limits.maxRequests(engine, factors, pauseMs),
       requests,
       imbalance,
       slowness,
@@ -190,11 +190,11 @@
     const imbalance =
       openMs < NEW_GROUP_MS ? NEW_GROUP_IMBALANCE : DEFAULT_IMBALANCE;
     const slowness = 1;
-    const pace = {size: own.length, imbalance, slowness};
+    const factors = {size: own.length, imbalance, slowness};
     return {
       imbalance,
       slowness,
-      most: limits.maxRequests(engine, pace, pauseMs),
+      most: limits.maxRequests(engine, factors, pauseMs),
       requests:
         sumOf(own) * Math.min(this.context.knownEntryCount(), MAX_ENTRIES),
       ageMs: Infinity,
@@ -215,9 +215,9 @@
       if (ranks.length === 0) {
         break;
       }
-      const hasNews = await this.poll(key, ranks);
+      const hasResult = await this.poll(key, ranks);
       await pause(
-        hasNews ? POLL_PAUSE_MS : random.jitter(FAILED_POLL_PAUSE_MS),
+        hasResult ? POLL_PAUSE_MS : random.jitter(FAILED_POLL_PAUSE_MS),
       );
     }
     this.polledGroups.delete(key);
--- a/src/forwarding/refusal-builder.ts
+++ b/src/forwarding/refusal-builder.ts
@@ -146,13 +146,13 @@
     const perEntry = cause.limitPerSecond / this.context.knownEntryCount();
     const spacingMs = SECOND_MS / Math.max(perEntry, MIN_RETRIES_PER_SECOND);
     const now = performance.now();
-    const lineMs = this.retrySchedule.nextDelayMs(
+    const scheduledMs = this.retrySchedule.nextDelayMs(
       service,
       cause.waitMs,
       spacingMs,
       now,
     );
-    const retryMs = retryDelays.afterLimit(lineMs, call.callerTimeLeftMs);
+    const retryMs = retryDelays.afterLimit(scheduledMs, call.callerTimeLeftMs);
     this.context.metrics.count('limit_refusals_total', {service});
     this.context.log.event('requestRefused', {
       request: call.head?.id,
--- a/src/forwarding/retry-detector.ts
+++ b/src/forwarding/retry-detector.ts
@@ -1,6 +1,6 @@
 /**
  * Detects callers' retries: a caller that has already tried states less time
- * left than other callers of the same route. Errors are possible both ways.
+ * left than other callers of the same route. A heuristic.
  */
 
 /** Difference in time left above which a request counts as a retry. */
