--- a/src/forwarding/group-request-limit.ts
+++ b/src/forwarding/group-request-limit.ts
@@ -45,28 +45,26 @@
 /** Milliseconds of a pass with `perRank` requests on each rank. */
 export function passMs(
   engine: EngineFigures,
-  factors: PassFactors,
+  group: PassFactors,
   perRank: number,
 ): number {
   const share = engine.experts?.share ?? 0;
   const work = workMsPerPass(engine) * perRank;
   const fixed = engine.stepMs * engine.stride;
   const own = fixed + (1 - share) * work * FULLEST_RANK_RATIO;
-  return (
-    Math.max(own, fixed * factors.slowness) + share * work * factors.imbalance
-  );
+  return Math.max(own, fixed * group.slowness) + share * work * group.imbalance;
 }
 
 /** Requests that the group may process at once. */
 export function maxRequests(
   engine: EngineFigures,
-  factors: PassFactors,
+  group: PassFactors,
   pauseMs: number,
 ): number {
-  const {size} = factors;
+  const {size} = group;
   const totalSlots = engine.slots * size;
-  const emptyMs = passMs(engine, factors, 0);
-  const fullSlotsMs = passMs(engine, factors, engine.slots) - emptyMs;
+  const emptyMs = passMs(engine, group, 0);
+  const fullSlotsMs = passMs(engine, group, engine.slots) - emptyMs;
   const availableMs = pauseMs * PAUSE_SHARE - emptyMs;
   const withinPause =
     fullSlotsMs > 0 ? (availableMs / fullSlotsMs) * totalSlots : totalSlots;
