--- a/src/forwarding/outcome-observer.ts
+++ b/src/forwarding/outcome-observer.ts
@@ -1,4 +1,4 @@
-/** What the sends of an entry teach it of targets and their groups. */
+/** Updates the state of targets and groups from the outcomes of sends. */
 import type {GroupGate} from './group-gate';
 import type {Log} from '../observability/log';
 import type {Metrics} from '../observability/metrics';
@@ -7,7 +7,6 @@
 import type {TargetList} from './target-list';
 import type * as types from './types';
 
-/** What is taught. */
 export interface ObserverContext {
   readonly targets: TargetList;
   readonly gate: GroupGate;
@@ -18,22 +17,22 @@
 export class OutcomeObserver {
   constructor(private readonly context: ObserverContext) {}
 
-  /** Notes how a send ended; `said` is the head of its answer. */
+  /** Records the outcome of a send; `head` is that of its response, if any. */
   noteOutcome(
     target: types.Target,
     outcome: exchanges.Outcome,
-    said: types.ResponseHead | undefined,
+    head: types.ResponseHead | undefined,
     sentAt: number,
   ): void {
     if (outcome.kind === 'not-run' && outcome.status === outcomes.MISDIRECTED) {
-      // Another life, or another service, has the address by now.
+      // Another lifetime or another service has this address now.
       this.context.targets.drop(target);
     }
-    this.noteGroup(target, outcome, said);
+    this.noteGroup(target, outcome, head);
     this.noteCooldownEnd(target, outcome, sentAt);
   }
 
-  /** Holds what a target asks for besides, as soon as it has said so. */
+  /** Applies the cooldown, limit and shutdown that a response head states. */
   noteHead(
     target: types.Target,
     head: types.ResponseHead,
@@ -41,40 +40,41 @@
   ): void {
     const {targets, metrics, log} = this.context;
     const {id, service} = target;
-    const {retryAfter: rest} = head;
+    const {retryAfter} = head;
     this.noteRateLimit(target, head, sentAt);
     if (head.isLeaving) {
       targets.leave(target);
     }
-    if (rest.kind !== 'rest') {
+    if (retryAfter.kind !== 'rest') {
       return;
     }
     metrics.count('rests_asked_total', {service});
-    if (targets.startCooldown(target, rest.ms, performance.now())) {
-      log.event('targetResting', {target: id, service, restMs: rest.ms});
+    if (targets.startCooldown(target, retryAfter.ms, performance.now())) {
+      log.event('targetResting', {target: id, service, restMs: retryAfter.ms});
     }
   }
 
   private noteRateLimit(
     target: types.Target,
-    {rateLimit: limit}: types.ResponseHead,
+    {rateLimit}: types.ResponseHead,
     sentAt: number,
   ): void {
     const {targets, log, metrics} = this.context;
     const now = performance.now();
-    const change = limit && targets.noteRateLimit(target, limit, sentAt, now);
+    const change =
+      rateLimit && targets.noteRateLimit(target, rateLimit, sentAt, now);
     if (change !== undefined) {
       metrics.count('limits_heard_total', {service: target.service, change});
       log.event(change === 'ended' ? 'limitEnded' : 'targetLimited', {
         target: target.id,
         service: target.service,
-        limit: limit?.kind === 'limit' ? limit.perSecond : undefined,
+        limit: rateLimit?.kind === 'limit' ? rateLimit.perSecond : undefined,
         by: 'answer',
       });
     }
   }
 
-  /** A target that takes a request after its rest is used as before. */
+  /** A target that accepts a request after its cooldown is fully used again. */
   private noteCooldownEnd(
     target: types.Target,
     outcome: exchanges.Outcome,
@@ -82,21 +82,24 @@
   ): void {
     const {targets, log} = this.context;
     const {id, service} = target;
-    const hasTaken =
+    const hasAccepted =
       outcome.kind === 'streaming' || outcome.kind === 'answered';
-    if (hasTaken && targets.noteAccepted(target, sentAt, performance.now())) {
+    if (
+      hasAccepted &&
+      targets.noteAccepted(target, sentAt, performance.now())
+    ) {
       log.event('targetRested', {target: id, service});
     }
   }
 
   /**
-   * Learns from an outcome whether the target's group takes requests. Who asks
-   * for rest speaks for itself alone, and not for the other ranks.
+   * Records whether the target's group accepts requests. A refusal that asks for
+   * a cooldown concerns the one rank only.
    */
   private noteGroup(
     target: types.Target,
     outcome: exchanges.Outcome,
-    said: types.ResponseHead | undefined,
+    head: types.ResponseHead | undefined,
   ): void {
     const {gate, log} = this.context;
     const {group, service} = target;
@@ -113,7 +116,7 @@
     } else if (
       outcome.kind === 'not-run' &&
       outcome.status === outcomes.UNAVAILABLE &&
-      said?.retryAfter.kind !== 'rest' &&
+      head?.retryAfter.kind !== 'rest' &&
       gate.noteRefused(group, target.id, now)
     ) {
       log.event('groupClosed', {service, group, target: target.id});
--- a/src/forwarding/refusal-builder.ts
+++ b/src/forwarding/refusal-builder.ts
@@ -1,27 +1,26 @@
-/** Why a request is refused that no target took, and when to come back. */
+/** Builds, logs and counts refusals of requests that no target accepted. */
 import type {Log} from '../observability/log';
 import type {Metrics} from '../observability/metrics';
 import type {CurrentConfiguration} from '../routes/current';
 import type {Call} from './call';
-import * as comeBack from './retry-delays';
+import * as retryDelays from './retry-delays';
 import type {GroupGate} from './group-gate';
 import type {GroupCapacity} from './group-views';
 import {RetrySchedule} from './retry-schedule';
 import type {Unavailability, TargetList} from './target-list';
 import type * as types from './types';
 
-/** What is looked at for it. */
 export interface RefusalContext {
   readonly configuration: CurrentConfiguration;
   readonly targets: TargetList;
   readonly gate: GroupGate;
-  /** Entries of the site that are known, this one among them. */
+  /** Known entries of the site, including this one. */
   knownEntryCount(): number;
   readonly log: Log;
   readonly metrics: Metrics;
 }
 
-/** Requests a second at which callers come back at least. */
+/** Lower bound of the rate at which one entry's callers are asked to retry. */
 const MIN_RETRIES_PER_SECOND = 0.1;
 const SECOND_MS = 1_000;
 
@@ -30,7 +29,7 @@
 
   constructor(private readonly context: RefusalContext) {}
 
-  /** Asks the caller to come back when the group may have formed. */
+  /** All groups are closed; `group` is the one to wait for. */
   closedGroup(
     call: Call,
     service: string,
@@ -39,7 +38,7 @@
   ): types.Refusal {
     const {configuration, gate} = this.context;
     const found = configuration.table?.findService(service);
-    const retryMs = comeBack.afterGroupClosed(
+    const retryMs = retryDelays.afterGroupClosed(
       {
         closedMs: gate.closedMs(group, now),
         formMs: found?.engine?.experts?.formMs ?? 0,
@@ -59,15 +58,15 @@
       service,
       digest,
     });
-    const retryMs = comeBack.afterCrashes(call.callerTimeLeftMs);
+    const retryMs = retryDelays.afterCrashes(call.callerTimeLeftMs);
     return {kind: 'not-run', why: 'crashes-targets', retryMs};
   }
 
-  /** Every target has as much from this entry as it should wait for. */
+  /** No target or group has capacity left. */
   overloaded(
     call: Call,
     service: string,
-    room: GroupCapacity | undefined,
+    capacity: GroupCapacity | undefined,
   ): types.Refusal {
     this.context.metrics.count('overloads_total', {service});
     this.context.log.event('requestRefused', {
@@ -75,88 +74,91 @@
       kind: 'overloaded',
       service,
       isLater: call.isLikelyRetry,
-      ...room,
+      ...capacity,
     });
-    const retryMs = comeBack.afterOverload(call.timeLeftMs);
+    const retryMs = retryDelays.afterOverload(call.timeLeftMs);
     return {kind: 'not-run', why: 'overloaded', retryMs};
   }
 
-  /** The last target turned the request away; others may take the next. */
+  /** The last target refused the request. */
   targetFull(call: Call, service: string): types.Refusal {
-    const hold = this.context.targets.unavailabilityOf(
+    const cause = this.context.targets.unavailabilityOf(
       service,
       performance.now(),
     );
-    return hold === undefined
+    return cause === undefined
       ? {
           kind: 'not-run',
           why: 'target-full',
-          retryMs: comeBack.afterFull(call.timeLeftMs),
+          retryMs: retryDelays.afterFull(call.timeLeftMs),
         }
-      : this.unavailable(call, service, hold);
+      : this.unavailable(call, service, cause);
   }
 
-  /** Why there is no target to choose. */
+  /** No target may be sent to now. */
   noneAvailable(
     call: Call,
     service: string,
-    hold: Unavailability | undefined,
+    cause: Unavailability | undefined,
   ): types.Refusal {
-    return hold === undefined
+    return cause === undefined
       ? this.noTarget(service)
-      : this.unavailable(call, service, hold);
+      : this.unavailable(call, service, cause);
   }
 
-  /** All targets are held back for a while: the caller is told for how long. */
+  /** All targets are temporarily unavailable, for a known reason. */
   private unavailable(
     call: Call,
     service: string,
-    hold: Unavailability,
+    cause: Unavailability,
   ): types.Refusal {
-    return hold.reason === 'limited'
-      ? this.rateLimited(call, service, hold)
-      : this.coolingDown(call, service, hold);
+    return cause.reason === 'limited'
+      ? this.rateLimited(call, service, cause)
+      : this.coolingDown(call, service, cause);
   }
 
   private coolingDown(
     call: Call,
     service: string,
-    hold: Unavailability,
+    cause: Unavailability,
   ): types.Refusal {
-    const retryMs = comeBack.afterCooldown(hold.waitMs, call.callerTimeLeftMs);
+    const retryMs = retryDelays.afterCooldown(
+      cause.waitMs,
+      call.callerTimeLeftMs,
+    );
     this.context.metrics.count('rest_refusals_total', {service});
     this.context.log.event('requestRefused', {
       request: call.head?.id,
       kind: 'targets-resting',
       service,
-      restMs: Math.round(hold.waitMs),
+      restMs: Math.round(cause.waitMs),
       retryMs: Math.round(retryMs),
     });
     return {kind: 'not-run', why: 'targets-resting', retryMs};
   }
 
-  /** They come back at the pace at which the targets take requests. */
+  /** Spreads callers' retries at the rate that the targets accept. */
   private rateLimited(
     call: Call,
     service: string,
-    hold: Unavailability,
+    cause: Unavailability,
   ): types.Refusal {
-    const perEntry = hold.limitPerSecond / this.context.knownEntryCount();
+    const perEntry = cause.limitPerSecond / this.context.knownEntryCount();
     const spacingMs = SECOND_MS / Math.max(perEntry, MIN_RETRIES_PER_SECOND);
     const now = performance.now();
-    const lineMs = this.retrySchedule.nextDelayMs(
+    const scheduledMs = this.retrySchedule.nextDelayMs(
       service,
-      hold.waitMs,
+      cause.waitMs,
       spacingMs,
       now,
     );
-    const retryMs = comeBack.afterLimit(lineMs, call.callerTimeLeftMs);
+    const retryMs = retryDelays.afterLimit(scheduledMs, call.callerTimeLeftMs);
     this.context.metrics.count('limit_refusals_total', {service});
     this.context.log.event('requestRefused', {
       request: call.head?.id,
       kind: 'targets-limited',
       service,
-      limit: hold.limitPerSecond,
+      limit: cause.limitPerSecond,
       retryMs: Math.round(retryMs),
     });
     return {kind: 'not-run', why: 'targets-limited', retryMs};
@@ -167,7 +169,7 @@
     return {
       kind: 'not-run',
       why: 'no-target',
-      retryMs: comeBack.NO_TARGET_DELAY_MS,
+      retryMs: retryDelays.NO_TARGET_DELAY_MS,
     };
   }
 }
