--- a/src/crashes/app.ts
+++ b/src/crashes/app.ts
@@ -3,9 +3,9 @@
 import * as rpc from '../rpc/types';
 
 /** Requests that one call is about. */
-const MOST_TOLD = 2_048;
+const MAX_REQUESTS_PER_CALL = 2_048;
 
-export const convictionSchema = v.object({
+export const quarantineSchema = v.object({
   digest: v.string(),
   /** Milliseconds for which the request is refused yet. */
   leftMs: v.pipe(v.number(), v.minValue(0)),
@@ -25,7 +25,7 @@
           lifetime: v.nullable(v.string()),
         }),
       ),
-      v.maxLength(MOST_TOLD),
+      v.maxLength(MAX_REQUESTS_PER_CALL),
     ),
   }),
   v.object({}),
@@ -37,7 +37,10 @@
   'crashes.convict',
   v.object({
     from: v.string(),
-    convicted: v.pipe(v.array(convictionSchema), v.maxLength(MOST_TOLD)),
+    convicted: v.pipe(
+      v.array(quarantineSchema),
+      v.maxLength(MAX_REQUESTS_PER_CALL),
+    ),
   }),
   v.object({}),
 );
--- a/src/crashes/crash-check.ts
+++ b/src/crashes/crash-check.ts
@@ -6,12 +6,12 @@
 import * as net from 'node:net';
 
 /** Time until the check: a process that dies closes its connections first. */
-const CHECK_AFTER_MS = 20;
+const CHECK_DELAY_MS = 20;
 /** Longest wait for an answer, in milliseconds. */
-const ANSWER_MS = 400;
+const CONNECT_TIMEOUT_MS = 400;
 
 export async function hasCrashed(address: string): Promise<boolean> {
-  await new Promise(resolve => setTimeout(resolve, CHECK_AFTER_MS));
+  await new Promise(resolve => setTimeout(resolve, CHECK_DELAY_MS));
   const colon = address.lastIndexOf(':');
   return new Promise(resolve => {
     const socket = net.connect({
@@ -22,7 +22,7 @@
       socket.destroy();
       resolve(isRefused);
     };
-    socket.setTimeout(ANSWER_MS, () => end(false));
+    socket.setTimeout(CONNECT_TIMEOUT_MS, () => end(false));
     socket.once('connect', () => end(false));
     socket.once('error', (err: NodeJS.ErrnoException) =>
       end(err.code === 'ECONNREFUSED'),
--- a/src/crashes/crash-exchange.ts
+++ b/src/crashes/crash-coordinator.ts
@@ -12,18 +12,18 @@
 import type {RpcClient} from '../rpc/client';
 import type {RpcServer} from '../rpc/server';
 import * as app from './app';
-import {Convictions, ConvictionTold, CONVICTED_MS} from './convictions';
+import {Quarantine, QuarantineNotice, QUARANTINE_MS} from './quarantine';
 import * as crashCheck from './crash-check';
-import {SuspectBook} from './suspect-book';
+import {SuspectTracker} from './suspect-tracker';
 
 /** Longest wait for an answer, in milliseconds: a round trip, a lost packet. */
-const ANSWER_MS = 400;
+const RPC_TIMEOUT_MS = 400;
 /** Calls of one message to one peer, at most. */
-const MOST_TRIES = 3;
+const MAX_ATTEMPTS = 3;
 /** Requests lost with a target so long ago went down with it, in milliseconds. */
-const SAME_CRASH_MS = 1_000;
+const CRASH_WINDOW_MS = 1_000;
 /** Time between two words that a suspect is served, in milliseconds. */
-const SERVED_AGAIN_MS = 1_000;
+const SERVED_REPORT_INTERVAL_MS = 1_000;
 
 /** What finding them needs of its process. */
 export interface CrashContext {
@@ -33,20 +33,20 @@
 }
 
 /** Requests that were lost with one lifetime of a target. */
-interface Loss {
+interface LostRequests {
   readonly digests: Set<string>;
   readonly at: number;
   isCrash: boolean;
 }
 
-export class CrashExchange {
+export class CrashCoordinator {
   /** Those that this entry judges. */
-  private readonly judged = new SuspectBook();
+  private readonly arbitratedSuspects = new SuspectTracker();
   /** Those that this entry has lost, and when it last told of one served. */
-  private readonly own = new SuspectBook();
-  private readonly servedAt = new Map<string, number>();
-  private readonly convictions = new Convictions();
-  private readonly losses = new Map<string, Loss>();
+  private readonly localSuspects = new SuspectTracker();
+  private readonly servedReportedAt = new Map<string, number>();
+  private readonly quarantine = new Quarantine();
+  private readonly lostRequests = new Map<string, LostRequests>();
   private isClosed = false;
 
   constructor(private readonly context: CrashContext) {}
@@ -60,7 +60,7 @@
     });
     server.handle(app.convict, ({from, convicted}) => {
       this.context.peers.noteHeard(from);
-      this.take(convicted);
+      this.applyNotices(convicted);
       return {};
     });
   }
@@ -72,15 +72,15 @@
   /** True where a request may be known; else no digest is needed. */
   get isActive(): boolean {
     const now = performance.now();
-    return !this.own.isEmpty(now) || !this.convictions.isEmpty(now);
+    return !this.localSuspects.isEmpty(now) || !this.quarantine.isEmpty(now);
   }
 
   /** True where a request that has come is to be refused. */
   refuses(digest: string): boolean {
     const now = performance.now();
-    const isRefused = this.convictions.takeRefusal(digest, now);
-    if (isRefused && this.convictions.takeTelling(digest, now)) {
-      void this.tellAll([{digest, leftMs: CONVICTED_MS}]);
+    const isRefused = this.quarantine.checkAndRenew(digest, now);
+    if (isRefused && this.quarantine.takeNotification(digest, now)) {
+      void this.notifyPeers([{digest, leftMs: QUARANTINE_MS}]);
     }
     return isRefused;
   }
@@ -89,8 +89,8 @@
   noteLost(target: Target, digest: string): void {
     const now = performance.now();
     const {lifetime} = target;
-    const before = this.losses.get(lifetime);
-    if (before !== undefined && now - before.at < SAME_CRASH_MS) {
+    const before = this.lostRequests.get(lifetime);
+    if (before !== undefined && now - before.at < CRASH_WINDOW_MS) {
       before.digests.add(digest);
       if (before.isCrash) {
         this.report([{digest, lifetime}]);
@@ -98,38 +98,50 @@
       return;
     }
     const loss = {digests: new Set([digest]), at: now, isCrash: false};
-    this.losses.set(lifetime, loss);
-    setTimeout(() => this.losses.delete(lifetime), SAME_CRASH_MS).unref();
-    void this.check(target, loss);
+    this.lostRequests.set(lifetime, loss);
+    setTimeout(
+      () => this.lostRequests.delete(lifetime),
+      CRASH_WINDOW_MS,
+    ).unref();
+    void this.checkForCrash(target, loss);
   }
 
   /** A request was served. */
   noteServed(digest: string): void {
     const now = performance.now();
-    const toldAt = this.servedAt.get(digest) ?? -Infinity;
-    if (this.own.isSuspect(digest, now) && now - toldAt > SERVED_AGAIN_MS) {
-      this.servedAt.set(digest, now);
-      setTimeout(() => this.servedAt.delete(digest), SERVED_AGAIN_MS).unref();
+    const toldAt = this.servedReportedAt.get(digest) ?? -Infinity;
+    if (
+      this.localSuspects.isSuspect(digest, now) &&
+      now - toldAt > SERVED_REPORT_INTERVAL_MS
+    ) {
+      this.servedReportedAt.set(digest, now);
+      setTimeout(
+        () => this.servedReportedAt.delete(digest),
+        SERVED_REPORT_INTERVAL_MS,
+      ).unref();
       this.report([{digest, lifetime: null}]);
     }
   }
 
   /** What a process that has just started should know. */
-  toTell(): ConvictionTold[] {
-    return this.convictions.toTell(performance.now());
+  quarantineNotices(): QuarantineNotice[] {
+    return this.quarantine.notices(performance.now());
   }
 
   /** Takes what a peer knows to be guilty. */
-  take(convicted: readonly ConvictionTold[]): void {
+  applyNotices(convicted: readonly QuarantineNotice[]): void {
     const now = performance.now();
     for (const {digest, leftMs} of convicted) {
-      if (this.convictions.convict(digest, leftMs, now)) {
+      if (this.quarantine.add(digest, leftMs, now)) {
         this.context.log.event('requestConvicted', {digest, by: 'peer'});
       }
     }
   }
 
-  private async check(target: Target, loss: Loss): Promise<void> {
+  private async checkForCrash(
+    target: Target,
+    loss: LostRequests,
+  ): Promise<void> {
     if (!(await crashCheck.hasCrashed(target.address)) || this.isClosed) {
       return;
     }
@@ -149,7 +161,7 @@
     const now = performance.now();
     for (const {digest, lifetime} of reports) {
       if (lifetime !== null) {
-        this.own.noteCrash(digest, lifetime, now);
+        this.localSuspects.noteCrash(digest, lifetime, now);
       }
     }
     const byJudge = grouping.groupBy(
@@ -160,18 +172,18 @@
       if (judge === peers.own) {
         some.forEach(one => this.judge(one));
       } else {
-        void this.send(judge, some);
+        void this.sendReports(judge, some);
       }
     }
   }
 
-  private async send(
+  private async sendReports(
     judge: string,
     reports: readonly app.Report[],
   ): Promise<void> {
     const {rpc, peers} = this.context;
     const params = {from: peers.own, reports: [...reports]};
-    const answer = await rpc.call(judge, app.report, params, ANSWER_MS);
+    const answer = await rpc.call(judge, app.report, params, RPC_TIMEOUT_MS);
     if (answer.ok) {
       peers.noteHeard(judge);
     } else if (!this.isClosed) {
@@ -184,32 +196,34 @@
   private judge({digest, lifetime}: app.Report): void {
     const now = performance.now();
     if (lifetime === null) {
-      this.judged.noteServed(digest, now);
+      this.arbitratedSuspects.noteServed(digest, now);
       return;
     }
-    this.judged.noteCrash(digest, lifetime, now);
-    if (this.judged.isGuilty(digest, now)) {
-      const leftMs = CONVICTED_MS;
-      if (this.convictions.convict(digest, leftMs, now)) {
+    this.arbitratedSuspects.noteCrash(digest, lifetime, now);
+    if (this.arbitratedSuspects.shouldQuarantine(digest, now)) {
+      const leftMs = QUARANTINE_MS;
+      if (this.quarantine.add(digest, leftMs, now)) {
         this.context.log.event('requestConvicted', {digest, by: 'crashes'});
       }
-      void this.tellAll([{digest, leftMs}]);
+      void this.notifyPeers([{digest, leftMs}]);
     }
   }
 
-  private async tellAll(convicted: readonly ConvictionTold[]): Promise<void> {
+  private async notifyPeers(
+    convicted: readonly QuarantineNotice[],
+  ): Promise<void> {
     const {book} = this.context.peers;
-    await Promise.all(book.known.map(peer => this.tell(peer, convicted)));
+    await Promise.all(book.known.map(peer => this.notifyPeer(peer, convicted)));
   }
 
-  private async tell(
+  private async notifyPeer(
     peer: string,
-    convicted: readonly ConvictionTold[],
+    convicted: readonly QuarantineNotice[],
   ): Promise<void> {
     const {rpc, peers} = this.context;
     const params = {from: peers.own, convicted: [...convicted]};
-    for (let tries = 0; tries < MOST_TRIES && !this.isClosed; tries += 1) {
-      const answer = await rpc.call(peer, app.convict, params, ANSWER_MS);
+    for (let tries = 0; tries < MAX_ATTEMPTS && !this.isClosed; tries += 1) {
+      const answer = await rpc.call(peer, app.convict, params, RPC_TIMEOUT_MS);
       if (answer.ok) {
         peers.noteHeard(peer);
         return;
--- a/src/crashes/suspect-book.test.ts
+++ b/src/crashes/suspect-tracker.test.ts
@@ -1,31 +1,31 @@
-import {SuspectBook} from './suspect-book';
+import {SuspectTracker} from './suspect-tracker';
 
 describe('requests that were under way as targets crashed', () => {
   it('are guilty after three lifetimes, not after three words of one', () => {
-    const book = new SuspectBook();
+    const book = new SuspectTracker();
     for (let at = 0; at < 5; at += 1) {
       book.noteCrash('deadly', 'a', at);
     }
     book.noteCrash('deadly', 'b', 10);
-    expect(book.isGuilty('deadly', 10)).toBe(false);
+    expect(book.shouldQuarantine('deadly', 10)).toBe(false);
     book.noteCrash('deadly', 'c', 20);
-    expect(book.isGuilty('deadly', 20)).toBe(true);
+    expect(book.shouldQuarantine('deadly', 20)).toBe(true);
   });
 
   it('are not where they are served as well', () => {
-    const book = new SuspectBook();
+    const book = new SuspectTracker();
     for (let at = 0; at < 6; at += 1) {
       book.noteCrash('popular', `life-${at}`, at);
       book.noteServed('popular', at);
     }
-    expect(book.isGuilty('popular', 10)).toBe(false);
+    expect(book.shouldQuarantine('popular', 10)).toBe(false);
     // Nobody's word counts for one that was never suspected.
     book.noteServed('other', 10);
     expect(book.isSuspect('other', 10)).toBe(false);
   });
 
   it('are forgotten, and kept in a bounded number', () => {
-    const book = new SuspectBook();
+    const book = new SuspectTracker();
     for (let at = 0; at < 3_000; at += 1) {
       book.noteCrash(`d-${at}`, 'a', 0);
     }
--- a/src/crashes/suspect-book.ts
+++ b/src/crashes/suspect-tracker.ts
@@ -8,41 +8,41 @@
 import * as bounded from '../bounded';
 
 /** Crashes of different lifetimes, beyond what was served, that make guilty. */
-const GUILTY_CRASHES = 3;
+const CRASHES_TO_QUARANTINE = 3;
 /** What is known of a request is forgotten after so long, in milliseconds. */
-const FORGET_MS = 60_000;
+const SUSPECT_TTL_MS = 60_000;
 /** Requests that are kept; the one suspected longest ago goes first. */
-const MOST_SUSPECTS = 2_048;
+const MAX_SUSPECTS = 2_048;
 
 interface Suspect {
   readonly lifetimes: Set<string>;
   served: number;
-  at: number;
+  lastCrashAt: number;
 }
 
-export class SuspectBook {
+export class SuspectTracker {
   private readonly suspects = new Map<string, Suspect>();
   /** When a request was last under way in a crash. */
-  private crashAt = -Infinity;
+  private lastCrashAt = -Infinity;
 
   /** A request was under way as a lifetime of a target crashed. */
   noteCrash(digest: string, lifetime: string, now: number): void {
-    const suspect = this.fresh(digest, now) ?? {
+    const suspect = this.unexpired(digest, now) ?? {
       lifetimes: new Set(),
       served: 0,
-      at: now,
+      lastCrashAt: now,
     };
     suspect.lifetimes.add(lifetime);
-    suspect.at = now;
-    this.crashAt = now;
+    suspect.lastCrashAt = now;
+    this.lastCrashAt = now;
     this.suspects.delete(digest);
     this.suspects.set(digest, suspect);
-    bounded.dropOldest(this.suspects, MOST_SUSPECTS);
+    bounded.dropOldest(this.suspects, MAX_SUSPECTS);
   }
 
   /** A suspected request was served. */
   noteServed(digest: string, now: number): void {
-    const suspect = this.fresh(digest, now);
+    const suspect = this.unexpired(digest, now);
     if (suspect !== undefined) {
       suspect.served += 1;
     }
@@ -50,29 +50,29 @@
 
   /** True where a request was under way in a crash lately. */
   isSuspect(digest: string, now: number): boolean {
-    return this.fresh(digest, now) !== undefined;
+    return this.unexpired(digest, now) !== undefined;
   }
 
-  isGuilty(digest: string, now: number): boolean {
-    const suspect = this.fresh(digest, now);
+  shouldQuarantine(digest: string, now: number): boolean {
+    const suspect = this.unexpired(digest, now);
     return (
       suspect !== undefined &&
-      suspect.lifetimes.size - suspect.served >= GUILTY_CRASHES
+      suspect.lifetimes.size - suspect.served >= CRASHES_TO_QUARANTINE
     );
   }
 
   /** True where nothing has crashed lately. */
   isEmpty(now: number): boolean {
-    return now - this.crashAt > FORGET_MS;
+    return now - this.lastCrashAt > SUSPECT_TTL_MS;
   }
 
   get size(): number {
     return this.suspects.size;
   }
 
-  private fresh(digest: string, now: number): Suspect | undefined {
+  private unexpired(digest: string, now: number): Suspect | undefined {
     const suspect = this.suspects.get(digest);
-    if (suspect !== undefined && now - suspect.at > FORGET_MS) {
+    if (suspect !== undefined && now - suspect.lastCrashAt > SUSPECT_TTL_MS) {
       this.suspects.delete(digest);
       return undefined;
     }
--- a/src/forwarding/come-back.ts
+++ b/src/forwarding/come-back.ts
@@ -5,7 +5,7 @@
  * Pure.
  */
 import * as random from '../random';
-import * as rests from '../targets/rest';
+import * as rests from '../targets/cooldown';
 
 /** Where no target of the service is known. */
 export const NO_TARGET_MS = 300;
@@ -47,7 +47,10 @@
  * or as late as the caller heeds, never together.
  */
 export function afterRest(restMs: number, leftMs: number): number {
-  return Math.min(rests.spreadReturn(restMs), longest(leftMs) * spreadShare());
+  return Math.min(
+    rests.withRetryJitter(restMs),
+    longest(leftMs) * spreadShare(),
+  );
 }
 
 /**
--- a/src/forwarding/forwarder.ts
+++ b/src/forwarding/forwarder.ts
@@ -3,7 +3,7 @@
  * request to a target, again where that is allowed, and answers once.
  */
 import type * as http from 'node:http';
-import type {CrashExchange} from '../crashes/crash-exchange';
+import type {CrashCoordinator} from '../crashes/crash-coordinator';
 import * as bodies from '../http/body';
 import {Log} from '../observability/log';
 import {Metrics} from '../observability/metrics';
@@ -37,7 +37,7 @@
   readonly views: GroupViews;
   readonly reach: Reach;
   readonly connections: TargetConnections;
-  readonly crashes: CrashExchange;
+  readonly crashes: CrashCoordinator;
   /** Entries of the site that are known, this one among them. */
   knownEntries(): number;
   /** Resolves once requests can be routed somewhere, or after the wait. */
--- a/src/forwarding/target-finder.ts
+++ b/src/forwarding/target-finder.ts
@@ -4,7 +4,7 @@
  * for a permit where targets have named limits.
  */
 import {Result, fail, ok} from '../result';
-import {TRIAL_MS} from '../targets/rest';
+import {TRIAL_INTERVAL_MS} from '../targets/cooldown';
 import type {Call} from './call';
 import type * as exchanges from './exchange';
 import type {ForwarderContext} from './forwarder';
@@ -191,11 +191,15 @@
   }
   if (hold.why === 'limited') {
     place.join();
-    const places = Math.ceil((hold.perSecond * TRIAL_MS) / SECOND_MS);
-    return call.hasBegun ? Infinity : place.ahead < places ? TRIAL_MS : 0;
+    const places = Math.ceil((hold.perSecond * TRIAL_INTERVAL_MS) / SECOND_MS);
+    return call.hasBegun
+      ? Infinity
+      : place.ahead < places
+        ? TRIAL_INTERVAL_MS
+        : 0;
   }
   if (call.hasBegun) {
     return Infinity;
   }
-  return hold.why === 'resting' ? 0 : TRIAL_MS;
+  return hold.why === 'resting' ? 0 : TRIAL_INTERVAL_MS;
 }
--- a/src/forwarding/target-list.ts
+++ b/src/forwarding/target-list.ts
@@ -14,9 +14,9 @@
 import * as bounded from '../bounded';
 import * as grouping from '../grouping';
 import type {LimitNamed} from '../http/server-limit';
-import {LimitBook, LimitChange} from '../targets/limit-book';
+import {RateLimitTracker, LimitChange} from '../targets/rate-limit-tracker';
 import * as revisions from '../platform/revisions';
-import {RestBook} from '../targets/rest-book';
+import {CooldownTracker} from '../targets/cooldown-tracker';
 import type {Target} from './types';
 
 /**
@@ -68,8 +68,8 @@
 
 export class TargetList {
   private readonly held = new Map<string, Held>();
-  readonly limits = new LimitBook();
-  private readonly rests = new RestBook();
+  readonly limits = new RateLimitTracker();
+  private readonly rests = new CooldownTracker();
   /** Oldest first. */
   private readonly ended = new Set<string>();
   /** Last entries of lifetimes that are off the list; oldest first. */
@@ -185,7 +185,7 @@
   askRest(target: Target, ms: number, now: number): boolean {
     return (
       !this.ended.has(target.lifetime) &&
-      this.rests.ask(target.lifetime, ms, now)
+      this.rests.start(target.lifetime, ms, now)
     );
   }
 
@@ -198,7 +198,7 @@
   ): LimitChange | undefined {
     return this.ended.has(target.lifetime)
       ? undefined
-      : this.limits.hear(target.lifetime, named, sentAt, now);
+      : this.limits.applyAdvertised(target.lifetime, named, sentAt, now);
   }
 
   /** Those of some targets that named a limit and to which a permit is held. */
@@ -212,7 +212,7 @@
   want(service: string, now: number): void {
     if (this.limits.size > 0) {
       const lifetimes = this.awake(service, now).map(one => one.lifetime);
-      this.limits.want(lifetimes, now);
+      this.limits.requestPermits(lifetimes, now);
     }
   }
 
@@ -224,7 +224,7 @@
 
   /** A target took a request; true where it is used as before its rest now. */
   noteTaken(target: Target, sentAt: number, now: number): boolean {
-    return this.rests.noteTaken(target.lifetime, sentAt, now);
+    return this.rests.noteAccepted(target.lifetime, sentAt, now);
   }
 
   get(id: string): Target | undefined {
@@ -260,13 +260,13 @@
    */
   ofService(service: string, now: number): readonly Target[] {
     const awake = this.awake(service, now);
-    return this.limits.open(awake, target => target.lifetime, now);
+    return this.limits.filterAvailable(awake, target => target.lifetime, now);
   }
 
   /** Those of a service that are at no rest. */
   private awake(service: string, now: number): readonly Target[] {
     const listed = this.listsAt(now).get(service) ?? [];
-    return this.rests.awake(listed, target => target.lifetime, now);
+    return this.rests.filterAvailable(listed, target => target.lifetime, now);
   }
 
   /** Where all targets of a service are held back: until when, and for what. */
@@ -287,7 +287,7 @@
       return {ms, why: 'limited', perSecond: this.limitOf(awake)};
     }
     const isAtRest = listed.every(one =>
-      this.rests.isResting(one.lifetime, now),
+      this.rests.isActive(one.lifetime, now),
     );
     return {ms, why: isAtRest ? 'resting' : 'returning', perSecond: 0};
   }
--- a/src/groups/engine-orders.ts
+++ b/src/groups/engine-client.ts
@@ -4,7 +4,7 @@
 import type {EngineRank, Fence, MapChange} from './types';
 
 /** The engine's interface for maps; each order answers whether it was done. */
-export abstract class EngineOrders {
+export abstract class EngineClient {
   /** Undefined where the engine does not answer. */
   abstract read(): Promise<EngineRank | undefined>;
   /** Loads the moved experts in the background. */
@@ -21,44 +21,44 @@
 
 const ORDER_TIMEOUT_MS = 1_000;
 const STAGE_TIMEOUT_MS = 120_000;
-const MAX_ANSWER_BYTES = 64 * 1024;
+const MAX_RESPONSE_BYTES = 64 * 1024;
 
 /** Orders over the engine's HTTP face. */
-export class HttpEngineOrders extends EngineOrders {
+export class HttpEngineClient extends EngineClient {
   constructor(
     private readonly agent: http.Agent,
     private readonly address: string,
-    private readonly ask: () => Promise<EngineRank | undefined>,
+    private readonly fetchRank: () => Promise<EngineRank | undefined>,
   ) {
     super();
   }
 
   read(): Promise<EngineRank | undefined> {
-    return this.ask();
+    return this.fetchRank();
   }
 
   stage(change: MapChange, fence: Fence): Promise<boolean> {
-    return this.order('stage', {change, fence}, STAGE_TIMEOUT_MS);
+    return this.post('stage', {change, fence}, STAGE_TIMEOUT_MS);
   }
 
   hold(change: MapChange, fence: Fence): Promise<boolean> {
-    return this.order('hold', {change, fence});
+    return this.post('hold', {change, fence});
   }
 
   switchTo(change: MapChange, fence: Fence): Promise<boolean> {
-    return this.order('switch', {change, fence});
+    return this.post('switch', {change, fence});
   }
 
   release(change: MapChange, fence: Fence): Promise<boolean> {
-    return this.order('release', {change, fence});
+    return this.post('release', {change, fence});
   }
 
   form(change: MapChange, fence: Fence): Promise<boolean> {
     const {generation, map} = change;
-    return this.order('form', {generation, version: map.version, fence});
+    return this.post('form', {generation, version: map.version, fence});
   }
 
-  private async order(
+  private async post(
     name: string,
     document: unknown,
     timeoutMs = ORDER_TIMEOUT_MS,
@@ -73,7 +73,7 @@
         body: JSON.stringify(document),
         timeoutMs,
       },
-      MAX_ANSWER_BYTES,
+      MAX_RESPONSE_BYTES,
     );
     return answer.ok && answer.value.status === 200;
   }
--- a/src/groups/leader.ts
+++ b/src/groups/leader.ts
@@ -5,7 +5,7 @@
 import {randomUUID} from 'node:crypto';
 import {Log} from '../observability/log';
 import type {ObjectApi} from '../platform/client';
-import {ChangeEnd, Coordinator} from './coordinator';
+import {ChangeResult, MapChangeCoordinator} from './map-change-coordinator';
 import * as lease from './lease';
 import type {RankLink} from './links';
 import type {RankMember} from './member';
@@ -21,19 +21,19 @@
 /** Times of the take-over. */
 export interface TakeoverSettings {
   /** Wait after the change's step should have been reached. */
-  readonly patienceMs: number;
+  readonly delayMs: number;
   /** Besides, for each lower rank: that one goes first. */
-  readonly perRankMs: number;
+  readonly perRankDelayMs: number;
 }
 
-export const DEFAULT_TAKEOVER: TakeoverSettings = {
-  patienceMs: 250,
-  perRankMs: 60,
+export const DEFAULT_TAKEOVER_SETTINGS: TakeoverSettings = {
+  delayMs: 250,
+  perRankDelayMs: 60,
 };
 
 export class GroupLeader {
-  private watchTimer: NodeJS.Timeout | undefined;
-  private busy = false;
+  private takeoverTimer: NodeJS.Timeout | undefined;
+  private isRecovering = false;
   private closed = false;
 
   constructor(
@@ -45,20 +45,20 @@
     private readonly links: () => readonly RankLink[],
     /** The map to form with; `version`: the one that a rank took already. */
     private readonly baseMap: (version: number | null) => types.ExpertMap,
-    private readonly settings = DEFAULT_TAKEOVER,
+    private readonly settings = DEFAULT_TAKEOVER_SETTINGS,
   ) {}
 
   /** Watches readings of the rank for a change or a forming that hangs. */
   noteReading(rank: types.EngineRank): void {
     const needsHelp = rank.hold !== null || rank.version === null;
     if (!needsHelp) {
-      clearTimeout(this.watchTimer);
-      this.watchTimer = undefined;
+      clearTimeout(this.takeoverTimer);
+      this.takeoverTimer = undefined;
       return;
     }
-    this.watchTimer ??= setTimeout(
-      () => void this.help(),
-      this.patienceFor(rank),
+    this.takeoverTimer ??= setTimeout(
+      () => void this.takeOver(),
+      this.takeoverDelayMs(rank),
     );
   }
 
@@ -68,8 +68,8 @@
    */
   async propose(
     make: (version: number) => types.ExpertMap,
-  ): Promise<ChangeEnd | null> {
-    const fence = await this.acquire();
+  ): Promise<ChangeResult | null> {
+    const fence = await this.acquireFence();
     if (fence === null || this.closed) {
       return null;
     }
@@ -79,30 +79,30 @@
 
   close(): void {
     this.closed = true;
-    clearTimeout(this.watchTimer);
+    clearTimeout(this.takeoverTimer);
   }
 
-  private patienceFor(rank: types.EngineRank): number {
+  private takeoverDelayMs(rank: types.EngineRank): number {
     const stepsLeft = Math.max((rank.hold?.step ?? 0) - rank.step, 0);
     const untilStepMs = stepsLeft * rank.stepMs;
-    const {patienceMs, perRankMs} = this.settings;
+    const {delayMs: patienceMs, perRankDelayMs: perRankMs} = this.settings;
     return untilStepMs + patienceMs + perRankMs * this.identity.rank;
   }
 
-  private async help(): Promise<void> {
-    this.watchTimer = undefined;
-    if (this.busy || this.closed) {
+  private async takeOver(): Promise<void> {
+    this.takeoverTimer = undefined;
+    if (this.isRecovering || this.closed) {
       return;
     }
-    this.busy = true;
+    this.isRecovering = true;
     try {
-      await this.helpNow();
+      await this.recover();
     } finally {
-      this.busy = false;
+      this.isRecovering = false;
     }
   }
 
-  private async helpNow(): Promise<void> {
+  private async recover(): Promise<void> {
     const {answer} = await this.member.query(null, null);
     const change = await this.member.heldChange();
     if (change !== null) {
@@ -124,29 +124,32 @@
       await this.member.abort(change, fence);
       return;
     }
-    const own = await this.ballot(coordinator);
+    const own = await this.nextBallot(coordinator);
     const end = await coordinator.recover(own, change);
     this.log.event('mapChangeRecovered', {change: change.id, end: end.kind});
   }
 
   private async reform(): Promise<void> {
     const coordinator = this.coordinator();
-    const fence = (await this.acquire()) ?? (await this.ballot(coordinator));
+    const fence =
+      (await this.acquireFence()) ?? (await this.nextBallot(coordinator));
     const end = await coordinator.form(fence, this.baseMap);
     this.log.event('mapChangeRecovered', {form: true, end: end.kind});
   }
 
-  private async ballot(coordinator: Coordinator): Promise<types.Fence> {
+  private async nextBallot(
+    coordinator: MapChangeCoordinator,
+  ): Promise<types.Fence> {
     const highest = await coordinator.highestFence();
     return lease.nextBallot(highest, this.identity.rank);
   }
 
-  private acquire(): Promise<types.Fence | null> {
+  private acquireFence(): Promise<types.Fence | null> {
     const {group, rank, holder} = this.identity;
     return lease.acquireFence(this.store, group, rank, holder, randomUUID());
   }
 
-  private coordinator(): Coordinator {
-    return new Coordinator(this.links(), this.log);
+  private coordinator(): MapChangeCoordinator {
+    return new MapChangeCoordinator(this.links(), this.log);
   }
 }
--- a/src/groups/links.ts
+++ b/src/groups/links.ts
@@ -37,41 +37,41 @@
 
   async query(change: MapChange | null, fence: Fence | null) {
     const params = {change, fence};
-    return value(
+    return linkAnswer(
       await this.rpc.call(this.address, app.query, params, ORDER_TIMEOUT_MS),
     );
   }
 
   async stage(change: MapChange, fence: Fence) {
     const params = {change, fence};
-    return value(
+    return linkAnswer(
       await this.rpc.call(this.address, app.stage, params, STAGE_TIMEOUT_MS),
     );
   }
 
   async arm(change: MapChange, fence: Fence, incarnation: string) {
     const params = {change, fence, incarnation};
-    return value(
+    return linkAnswer(
       await this.rpc.call(this.address, app.arm, params, ORDER_TIMEOUT_MS),
     );
   }
 
   async commit(change: MapChange, fence: Fence) {
     const params = {change, fence};
-    return value(
+    return linkAnswer(
       await this.rpc.call(this.address, app.commit, params, ORDER_TIMEOUT_MS),
     );
   }
 
   async abort(change: MapChange, fence: Fence) {
     const params = {change, fence};
-    return value(
+    return linkAnswer(
       await this.rpc.call(this.address, app.abort, params, ORDER_TIMEOUT_MS),
     );
   }
 }
 
-function value(
+function linkAnswer(
   answer: {ok: true; value: OrderAnswer} | {ok: false},
 ): LinkAnswer {
   return answer.ok ? answer.value : undefined;
--- a/src/groups/coordinator.ts
+++ b/src/groups/map-change-coordinator.ts
@@ -14,7 +14,7 @@
 import * as types from './types';
 
 /** How an attempt at a change ended. */
-export type ChangeEnd =
+export type ChangeResult =
   | {readonly kind: 'committed'; readonly change: types.MapChange}
   | {
       readonly kind: 'aborted';
@@ -34,32 +34,35 @@
   readonly leadMs: number;
   /** Pause between tries to tell the outcome. */
   readonly retryMs: number;
-  readonly tellTries: number;
+  readonly maxAttempts: number;
 }
 
-export const DEFAULT_COORDINATOR: CoordinatorSettings = {
+export const DEFAULT_COORDINATOR_SETTINGS: CoordinatorSettings = {
   leadMs: 150,
   retryMs: 50,
-  tellTries: 40,
+  maxAttempts: 40,
 };
 
 /** Steps of the lead besides those that its time takes. */
 const EXTRA_STEPS = 4;
 const MIN_STEP_MS = 0.5;
 
-export class Coordinator {
+export class MapChangeCoordinator {
   constructor(
     private readonly links: readonly RankLink[],
     private readonly log: Log,
-    private readonly settings = DEFAULT_COORDINATOR,
+    private readonly settings = DEFAULT_COORDINATOR_SETTINGS,
   ) {}
 
   /** Changes the group's map. `map` is made from the version in force. */
-  async change(fence: types.Fence, map: types.ExpertMap): Promise<ChangeEnd> {
-    const before = await this.askAll(null, fence);
+  async change(
+    fence: types.Fence,
+    map: types.ExpertMap,
+  ): Promise<ChangeResult> {
+    const before = await this.queryAll(null, fence);
     const ready = allAccepted(before);
     if (ready === undefined) {
-      return this.explainSilence(before);
+      return this.incompleteResult(before);
     }
     const first = ready[0]!;
     const versions = new Set(ready.map(answer => answer.version));
@@ -78,7 +81,7 @@
       change: draft.id,
       version: map.version,
     });
-    const staged = await this.all(link => link.stage(draft, fence));
+    const staged = await this.sendAll(link => link.stage(draft, fence));
     if (allAccepted(staged) === undefined) {
       return {kind: 'aborted', change: null, reason: 'not staged'};
     }
@@ -92,11 +95,11 @@
   async form(
     fence: types.Fence,
     choose: (version: number | null) => types.ExpertMap,
-  ): Promise<ChangeEnd> {
-    const answers = await this.askAll(null, fence);
+  ): Promise<ChangeResult> {
+    const answers = await this.queryAll(null, fence);
     const ready = allAccepted(answers);
     if (ready === undefined) {
-      return this.explainSilence(answers);
+      return this.incompleteResult(answers);
     }
     const taken = ready.flatMap(answer => answer.version ?? []);
     const generations = new Set(ready.map(answer => answer.generation));
@@ -120,26 +123,26 @@
   async recover(
     fence: types.Fence,
     change: types.MapChange,
-  ): Promise<ChangeEnd> {
-    const answers = await this.askAll(change, fence);
+  ): Promise<ChangeResult> {
+    const answers = await this.queryAll(change, fence);
     if (isSuperseded(answers)) {
       return {kind: 'superseded'};
     }
     const states = answers.map(answer => answer?.answer?.state);
     if (states.includes('committed')) {
-      return this.tellAll('commit', change, fence);
+      return this.broadcastOutcome('commit', change, fence);
     }
     if (states.includes('aborted')) {
-      return this.tellAll('abort', change, fence);
+      return this.broadcastOutcome('abort', change, fence);
     }
     const isFenced = answers.some(
       answer => answer?.refusal === null && answer.answer?.state === 'none',
     );
     if (isFenced) {
-      return this.tellAll('abort', change, fence);
+      return this.broadcastOutcome('abort', change, fence);
     }
     if (states.every(state => state === 'armed')) {
-      return this.tellAll('commit', change, fence);
+      return this.broadcastOutcome('commit', change, fence);
     }
     return {kind: 'blocked'};
   }
@@ -148,7 +151,7 @@
   async findOutcome(
     change: types.MapChange,
   ): Promise<'committed' | 'aborted' | undefined> {
-    const answers = await this.askAll(change, null);
+    const answers = await this.queryAll(change, null);
     const states = answers.map(answer => answer?.answer?.state);
     if (states.includes('committed')) {
       return 'committed';
@@ -158,7 +161,7 @@
 
   /** The highest fence that any rank has promised to obey. */
   async highestFence(): Promise<types.Fence> {
-    const answers = await this.askAll(null, null);
+    const answers = await this.queryAll(null, null);
     return answers.reduce<types.Fence>((highest, answer) => {
       const fence = answer?.answer?.fence ?? types.NO_FENCE;
       return types.compareFences(fence, highest) > 0 ? fence : highest;
@@ -168,12 +171,12 @@
   private async armAndDecide(
     fence: types.Fence,
     draft: types.MapChange,
-  ): Promise<ChangeEnd> {
-    const now = allAccepted(await this.askAll(null, fence));
+  ): Promise<ChangeResult> {
+    const now = allAccepted(await this.queryAll(null, fence));
     if (now === undefined) {
       return {kind: 'aborted', change: null, reason: 'a rank is silent'};
     }
-    const change = {...draft, step: this.stepAhead(now)};
+    const change = {...draft, step: this.switchStep(now)};
     return this.armAndTell(fence, change, now);
   }
 
@@ -181,21 +184,21 @@
     fence: types.Fence,
     change: types.MapChange,
     now: readonly types.RankAnswer[],
-  ): Promise<ChangeEnd> {
+  ): Promise<ChangeResult> {
     const armed = await Promise.all(
       this.links.map((link, at) =>
         link.arm(change, fence, now[at]!.incarnation),
       ),
     );
     if (allAccepted(armed) !== undefined) {
-      return this.tellAll('commit', change, fence);
+      return this.broadcastOutcome('commit', change, fence);
     }
     const reasons = armed.map(answer => answer?.refusal ?? 'silent');
     this.log.event('mapChangeAborted', {change: change.id, reasons});
-    return this.tellAll('abort', change, fence);
+    return this.broadcastOutcome('abort', change, fence);
   }
 
-  private stepAhead(answers: readonly types.RankAnswer[]): number {
+  private switchStep(answers: readonly types.RankAnswer[]): number {
     const step = Math.max(...answers.map(answer => answer.step));
     const stepMs = Math.max(
       MIN_STEP_MS,
@@ -205,13 +208,13 @@
   }
 
   /** Tells the outcome until all have heard, or the tries are used up. */
-  private async tellAll(
+  private async broadcastOutcome(
     outcome: 'commit' | 'abort',
     change: types.MapChange,
     fence: types.Fence,
-  ): Promise<ChangeEnd> {
+  ): Promise<ChangeResult> {
     let open = [...this.links];
-    for (let tries = 0; tries < this.settings.tellTries; tries += 1) {
+    for (let tries = 0; tries < this.settings.maxAttempts; tries += 1) {
       const answers = await Promise.all(
         open.map(link => link[outcome](change, fence)),
       );
@@ -220,17 +223,17 @@
       }
       open = open.filter((_, at) => answers[at]?.refusal !== null);
       if (open.length === 0) {
-        return this.finish(outcome, change);
+        return this.completedResult(outcome, change);
       }
       await new Promise(done => setTimeout(done, this.settings.retryMs));
     }
     return {kind: 'spreading', change};
   }
 
-  private finish(
+  private completedResult(
     outcome: 'commit' | 'abort',
     change: types.MapChange,
-  ): ChangeEnd {
+  ): ChangeResult {
     if (outcome === 'commit') {
       const {version} = change.map;
       this.log.event('mapChangeCommitted', {change: change.id, version});
@@ -239,20 +242,20 @@
     return {kind: 'aborted', change, reason: 'a rank did not arm'};
   }
 
-  private explainSilence(answers: readonly LinkAnswer[]): ChangeEnd {
+  private incompleteResult(answers: readonly LinkAnswer[]): ChangeResult {
     return isSuperseded(answers)
       ? {kind: 'superseded'}
       : {kind: 'aborted', change: null, reason: 'a rank is silent'};
   }
 
-  private askAll(
+  private queryAll(
     change: types.MapChange | null,
     fence: types.Fence | null,
   ): Promise<LinkAnswer[]> {
-    return this.all(link => link.query(change, fence));
+    return this.sendAll(link => link.query(change, fence));
   }
 
-  private all(
+  private sendAll(
     ask: (link: RankLink) => Promise<LinkAnswer>,
   ): Promise<LinkAnswer[]> {
     return Promise.all(this.links.map(ask));
--- a/src/groups/agreement.test.ts
+++ b/src/groups/map-change.test.ts
@@ -5,8 +5,8 @@
  */
 import * as fc from 'fast-check';
 import {SILENT_LOG} from '../observability/log';
-import {Coordinator} from './coordinator';
-import {EngineOrders} from './engine-orders';
+import {MapChangeCoordinator} from './map-change-coordinator';
+import {EngineClient} from './engine-client';
 import {nextBallot} from './lease';
 import {LinkAnswer, RankLink} from './links';
 import {RankMember} from './member';
@@ -17,7 +17,7 @@
 const RUNS = 800;
 const FORM_RUNS = 200;
 const SEED = 20261202;
-const SETTINGS = {leadMs: 0, retryMs: 0, tellTries: 3};
+const SETTINGS = {leadMs: 0, retryMs: 0, maxAttempts: 3};
 const FIRST_VERSION = 1;
 
 class ModelRank {
@@ -54,7 +54,7 @@
     return true;
   }
 
-  async stopAt(change: types.MapChange): Promise<boolean> {
+  async holdAt(change: types.MapChange): Promise<boolean> {
     if (this.group.step >= change.step) {
       return false;
     }
@@ -87,7 +87,7 @@
 }
 
 /** The engine's interface to a model rank. */
-class OrdersOf extends EngineOrders {
+class ModelEngineClient extends EngineClient {
   constructor(private readonly model: ModelRank) {
     super();
   }
@@ -101,7 +101,7 @@
   }
 
   hold(change: types.MapChange) {
-    return this.model.stopAt(change);
+    return this.model.holdAt(change);
   }
 
   switchTo(change: types.MapChange) {
@@ -120,10 +120,10 @@
 class ModelGroup {
   step = 1;
   generation = 1;
-  mixed = 0;
+  mixedSteps = 0;
   readonly ranks: ModelRank[] = [];
   readonly members: RankMember[] = [];
-  private lives = 0;
+  private restarts = 0;
 
   constructor() {
     for (let rank = 0; rank < RANKS; rank += 1) {
@@ -133,9 +133,9 @@
   }
 
   restartSidecar(rank: number): void {
-    this.lives += 1;
-    const orders = new OrdersOf(this.ranks[rank]!);
-    this.members[rank] = new RankMember(`life-${this.lives}`, orders);
+    this.restarts += 1;
+    const orders = new ModelEngineClient(this.ranks[rank]!);
+    this.members[rank] = new RankMember(`life-${this.restarts}`, orders);
   }
 
   /** The engines of the group die together and come back without a map. */
@@ -159,7 +159,7 @@
       }
     }
     const versions = new Set(this.ranks.map(rank => rank.version));
-    this.mixed += versions.size > 1 ? 1 : 0;
+    this.mixedSteps += versions.size > 1 ? 1 : 0;
     this.step += 1;
   }
 }
@@ -274,7 +274,11 @@
   const change = await waitForHold(group, scheduler);
   if (change !== undefined) {
     const net = new ModelNetwork(group, scheduler, fates, Infinity);
-    const coordinator = new Coordinator(net.links(), SILENT_LOG, SETTINGS);
+    const coordinator = new MapChangeCoordinator(
+      net.links(),
+      SILENT_LOG,
+      SETTINGS,
+    );
     const highest = await coordinator.highestFence();
     await coordinator.recover(nextBallot(highest, rank), change);
   }
@@ -291,7 +295,11 @@
       continue;
     }
     const net = new ModelNetwork(group, scheduler, ['delivered'], Infinity);
-    const coordinator = new Coordinator(net.links(), SILENT_LOG, SETTINGS);
+    const coordinator = new MapChangeCoordinator(
+      net.links(),
+      SILENT_LOG,
+      SETTINGS,
+    );
     void coordinator
       .highestFence()
       .then(highest => coordinator.recover(nextBallot(highest, rank), change));
@@ -308,7 +316,7 @@
   {minLength: 5, maxLength: 30},
 );
 
-const plan = fc.record({
+const scenario = fc.record({
   leaders: fc.integer({min: 1, max: 2}),
   fates: fc.tuple(fateArbitrary, fateArbitrary),
   diesAfter: fc.tuple(fc.nat(30), fc.nat(30)),
@@ -320,12 +328,16 @@
   it('never lets two ranks run a step on different maps', async () => {
     let committed = 0;
     await fc.assert(
-      fc.asyncProperty(fc.scheduler(), plan, async (scheduler, drawn) => {
+      fc.asyncProperty(fc.scheduler(), scenario, async (scheduler, drawn) => {
         const group = new ModelGroup();
         drawn.fates.slice(0, drawn.leaders).forEach((fates, at) => {
           const dies = drawn.diesAfter[at]!;
           const net = new ModelNetwork(group, scheduler, fates, dies);
-          const leader = new Coordinator(net.links(), SILENT_LOG, SETTINGS);
+          const leader = new MapChangeCoordinator(
+            net.links(),
+            SILENT_LOG,
+            SETTINGS,
+          );
           const fence = {lease: 100 + at, ballot: 0, rank: at};
           void scheduler
             .schedule(Promise.resolve(), `leader ${at}`)
@@ -352,7 +364,7 @@
           group.runStep();
         }
         const versions = group.ranks.map(rank => rank.version);
-        expect(group.mixed).toBe(0);
+        expect(group.mixedSteps).toBe(0);
         expect(new Set(versions).size).toBe(1);
         expect(group.ranks.map(rank => rank.hold)).toEqual([null, null, null]);
         committed += versions[0] === FIRST_VERSION ? 0 : 1;
@@ -365,13 +377,17 @@
 
   it('forms a restarted group with one map, whoever leads', async () => {
     await fc.assert(
-      fc.asyncProperty(fc.scheduler(), plan, async (scheduler, drawn) => {
+      fc.asyncProperty(fc.scheduler(), scenario, async (scheduler, drawn) => {
         const group = new ModelGroup();
         group.reform();
         drawn.fates.forEach((fates, at) => {
           const dies = drawn.diesAfter[at]!;
           const net = new ModelNetwork(group, scheduler, fates, dies);
-          const leader = new Coordinator(net.links(), SILENT_LOG, SETTINGS);
+          const leader = new MapChangeCoordinator(
+            net.links(),
+            SILENT_LOG,
+            SETTINGS,
+          );
           const fence = {lease: 100 + at, ballot: 0, rank: at};
           void scheduler
             .schedule(Promise.resolve(), `leader ${at}`)
@@ -387,12 +403,16 @@
         await settle(scheduler);
         group.runStep();
         const net = new ModelNetwork(group, scheduler, ['delivered'], 1e9);
-        const last = new Coordinator(net.links(), SILENT_LOG, SETTINGS);
+        const last = new MapChangeCoordinator(
+          net.links(),
+          SILENT_LOG,
+          SETTINGS,
+        );
         const fence = {lease: 200, ballot: 0, rank: 0};
         void last.form(fence, taken => mapOf(taken ?? fence.lease));
         await settle(scheduler);
         group.runStep();
-        expect(group.mixed).toBe(0);
+        expect(group.mixedSteps).toBe(0);
         expect(group.step).toBeGreaterThan(1);
       }),
       {numRuns: FORM_RUNS, seed: SEED},
@@ -457,7 +477,7 @@
     for (const member of group.members) {
       await member.arm(second, fences[1]!, member.incarnation);
     }
-    const leader = new Coordinator(links, SILENT_LOG, SETTINGS);
+    const leader = new MapChangeCoordinator(links, SILENT_LOG, SETTINGS);
     const end = await leader.recover(fences[2]!, first);
     expect(end.kind).toBe('committed');
     expect(group.ranks.map(rank => rank.version)).toEqual([5, 5, 5]);
--- a/src/groups/member.ts
+++ b/src/groups/member.ts
@@ -7,7 +7,7 @@
  * has another incarnation, and an order to arm names the incarnation that it
  * is for; so a late order from before the restart is refused.
  */
-import type {EngineOrders} from './engine-orders';
+import type {EngineClient} from './engine-client';
 import * as types from './types';
 
 /** What a rank answers to an order. */
@@ -23,12 +23,12 @@
   private fence: types.Fence = types.NO_FENCE;
   private readonly aborted = new Set<string>();
   /** A re-formed group's map that this rank has promised to take. */
-  private armedForm: types.MapChange | undefined;
+  private armedFormation: types.MapChange | undefined;
   private queue: Promise<unknown> = Promise.resolve();
 
   constructor(
     readonly incarnation: string,
-    private readonly orders: EngineOrders,
+    private readonly engine: EngineClient,
   ) {}
 
   /** The highest fence that this rank has promised to obey. */
@@ -38,8 +38,8 @@
 
   /** The change that the rank has armed for, if any. */
   async heldChange(): Promise<types.MapChange | null> {
-    const rank = await this.orders.read();
-    const form = rank?.version === null ? this.armedForm : undefined;
+    const rank = await this.engine.read();
+    const form = rank?.version === null ? this.armedFormation : undefined;
     return rank?.hold?.change ?? form ?? null;
   }
 
@@ -49,7 +49,7 @@
     fence: types.Fence | null,
   ): Promise<OrderAnswer> {
     return this.serialize(async () => {
-      if (fence !== null && !this.raise(fence)) {
+      if (fence !== null && !this.raiseFence(fence)) {
         return this.refuse('old-fence', change);
       }
       return this.accept(change);
@@ -64,10 +64,10 @@
     change: types.MapChange,
     fence: types.Fence,
   ): Promise<OrderAnswer> {
-    if (!this.raise(fence)) {
+    if (!this.raiseFence(fence)) {
       return this.refuse('old-fence', change);
     }
-    const done = await this.orders.stage(change, fence);
+    const done = await this.engine.stage(change, fence);
     return done ? this.accept(change) : this.refuse('engine-refused', change);
   }
 
@@ -81,25 +81,25 @@
       if (incarnation !== this.incarnation) {
         return this.refuse('other-incarnation', change);
       }
-      if (!this.raise(fence)) {
+      if (!this.raiseFence(fence)) {
         return this.refuse('old-fence', change);
       }
       if (this.aborted.has(change.id)) {
         return this.refuse('already-aborted', change);
       }
-      const rank = await this.orders.read();
+      const rank = await this.engine.read();
       if (rank !== undefined && this.stateOf(rank, change) === 'committed') {
         return this.accept(change);
       }
-      const refusal = whyNotArm(rank, change);
+      const refusal = armRefusal(rank, change);
       if (refusal !== null) {
         return this.refuse(refusal, change);
       }
       if (rank?.version === null) {
-        this.armedForm = change;
+        this.armedFormation = change;
         return this.accept(change);
       }
-      const done = await this.orders.hold(change, fence);
+      const done = await this.engine.hold(change, fence);
       return done ? this.accept(change) : this.refuse('too-late', change);
     });
   }
@@ -107,10 +107,10 @@
   /** Takes the new map at the change's step. */
   commit(change: types.MapChange, fence: types.Fence): Promise<OrderAnswer> {
     return this.serialize(async () => {
-      if (!this.raise(fence)) {
+      if (!this.raiseFence(fence)) {
         return this.refuse('old-fence', change);
       }
-      const rank = await this.orders.read();
+      const rank = await this.engine.read();
       if (rank === undefined) {
         return this.refuse('engine-silent', change);
       }
@@ -123,8 +123,8 @@
       }
       const done =
         rank.version === null
-          ? await this.orders.form(change, fence)
-          : await this.orders.switchTo(change, fence);
+          ? await this.engine.form(change, fence)
+          : await this.engine.switchTo(change, fence);
       return done ? this.accept(change) : this.refuse('engine-refused', change);
     });
   }
@@ -132,14 +132,14 @@
   /** Goes on with the map in force. */
   abort(change: types.MapChange, fence: types.Fence): Promise<OrderAnswer> {
     return this.serialize(async () => {
-      if (!this.raise(fence)) {
+      if (!this.raiseFence(fence)) {
         return this.refuse('old-fence', change);
       }
       this.noteAborted(change.id);
-      if (this.armedForm?.id === change.id) {
-        this.armedForm = undefined;
+      if (this.armedFormation?.id === change.id) {
+        this.armedFormation = undefined;
       }
-      const done = await this.orders.release(change, fence);
+      const done = await this.engine.release(change, fence);
       return done ? this.accept(change) : this.refuse('engine-refused', change);
     });
   }
@@ -171,7 +171,7 @@
    * which the last one told its outcome in vain, 2 of 52 times beside load.
    */
   private isArmedToForm(change: types.MapChange): boolean {
-    const form = this.armedForm;
+    const form = this.armedFormation;
     return (
       form !== undefined &&
       form.generation === change.generation &&
@@ -179,7 +179,7 @@
     );
   }
 
-  private raise(fence: types.Fence): boolean {
+  private raiseFence(fence: types.Fence): boolean {
     if (types.compareFences(fence, this.fence) < 0) {
       return false;
     }
@@ -196,7 +196,7 @@
   }
 
   private async accept(change: types.MapChange | null): Promise<OrderAnswer> {
-    const answer = await this.describe(change);
+    const answer = await this.rankAnswer(change);
     return {refusal: answer === null ? 'engine-silent' : null, answer};
   }
 
@@ -204,19 +204,19 @@
     refusal: types.OrderRefusal,
     change: types.MapChange | null,
   ): Promise<OrderAnswer> {
-    return {refusal, answer: await this.describe(change)};
+    return {refusal, answer: await this.rankAnswer(change)};
   }
 
-  private async describe(
+  private async rankAnswer(
     change: types.MapChange | null,
   ): Promise<types.RankAnswer | null> {
-    const rank = await this.orders.read();
+    const rank = await this.engine.read();
     if (rank === undefined) {
       return null;
     }
     if (rank.fence !== null) {
       // An engine that checks fences remembers for a sidecar that restarted.
-      this.raise(rank.fence);
+      this.raiseFence(rank.fence);
     }
     return {
       rank: rank.rank,
@@ -238,7 +238,7 @@
   }
 }
 
-function whyNotArm(
+function armRefusal(
   rank: types.EngineRank | undefined,
   change: types.MapChange,
 ): types.OrderRefusal | null {
--- a/src/groups/rank-service.ts
+++ b/src/groups/rank-service.ts
@@ -12,7 +12,7 @@
 import type {RpcClient} from '../rpc/client';
 import type {RpcServer} from '../rpc/server';
 import * as app from './app';
-import type {EngineOrders} from './engine-orders';
+import type {EngineClient} from './engine-client';
 import {GroupLeader} from './leader';
 import {RankLink, RpcRankLink} from './links';
 import {OrderAnswer, RankMember} from './member';
@@ -30,7 +30,7 @@
 const COUNTS_TIMEOUT_MS = 1_000;
 
 /** The leader's link to the rank of its own sidecar. */
-class OwnLink extends RankLink {
+class LocalRankLink extends RankLink {
   constructor(
     private readonly member: RankMember,
     private readonly onCommit: (
@@ -68,12 +68,12 @@
   private readonly member: RankMember;
   private readonly leader: GroupLeader;
   private readonly planner: Planner;
-  private latest: types.EngineRank | undefined;
-  private map: types.ExpertMap | undefined;
+  private latestReading: types.EngineRank | undefined;
+  private committedMap: types.ExpertMap | undefined;
 
   constructor(
     private readonly identity: RankIdentity,
-    orders: EngineOrders,
+    orders: EngineClient,
     private readonly follower: Follower,
     store: ObjectApi,
     private readonly rpc: RpcClient,
@@ -95,30 +95,30 @@
   }
 
   /** Binds the RPC face. */
-  serve(server: RpcServer): void {
+  registerHandlers(server: RpcServer): void {
     server.handle(app.query, p => this.member.query(p.change, p.fence));
     server.handle(app.stage, p => this.member.stage(p.change, p.fence));
     server.handle(app.arm, async p => {
       const answer = await this.member.arm(p.change, p.fence, p.incarnation);
-      return this.noteRefusal('arm', answer);
+      return this.logRefusal('arm', answer);
     });
     server.handle(app.commit, async p => {
       const answer = await this.member.commit(p.change, p.fence);
-      this.noteMap(answer, p.change.map);
-      return this.noteRefusal('commit', answer);
+      this.recordCommittedMap(answer, p.change.map);
+      return this.logRefusal('commit', answer);
     });
     server.handle(app.abort, async p => {
       const answer = await this.member.abort(p.change, p.fence);
-      return this.noteRefusal('abort', answer);
+      return this.logRefusal('abort', answer);
     });
     server.handle(app.propose, async p => {
       const end = await this.leader.propose(version => ({version, ...p}));
       return {end: end?.kind ?? 'no-lease'};
     });
     server.handle(app.counts, () => ({
-      counts: this.latest?.counts ?? [],
-      rankMs: this.latest?.rankMs ?? 0,
-      stepMs: this.latest?.stepMs ?? 0,
+      counts: this.latestReading?.counts ?? [],
+      rankMs: this.latestReading?.rankMs ?? 0,
+      stepMs: this.latestReading?.stepMs ?? 0,
     }));
   }
 
@@ -133,7 +133,7 @@
 
   /** Takes over a reading of the engine. */
   noteReading(rank: types.EngineRank): void {
-    this.latest = rank;
+    this.latestReading = rank;
     this.leader.noteReading(rank);
     const skewMs = Math.max(rank.stepMs - rank.rankMs, 0);
     this.metrics.time('step_skew', '', this.identity.group, skewMs);
@@ -147,7 +147,7 @@
 
   async readRanks(): Promise<readonly RankReading[] | undefined> {
     const mates = this.mates();
-    if (mates.length !== this.latest?.ranks) {
+    if (mates.length !== this.latestReading?.ranks) {
       return undefined;
     }
     const answers = await Promise.all(
@@ -162,13 +162,13 @@
   }
 
   currentMap(): types.ExpertMap | undefined {
-    const version = this.latest?.version;
+    const version = this.latestReading?.version;
     if (version === undefined || version === null) {
       return undefined;
     }
-    return this.map?.version === version
-      ? this.map
-      : {version, layers: this.firstLayers()};
+    return this.committedMap?.version === version
+      ? this.committedMap
+      : {version, layers: this.initialLayers()};
   }
 
   async propose(layers: number[][][]): Promise<boolean> {
@@ -180,7 +180,9 @@
   private links(): RankLink[] {
     return this.mates().map(mate =>
       mate.id === this.identity.id
-        ? new OwnLink(this.member, (a, map) => this.noteMap(a, map))
+        ? new LocalRankLink(this.member, (a, map) =>
+            this.recordCommittedMap(a, map),
+          )
         : new RpcRankLink(this.rpc, mate.address),
     );
   }
@@ -201,23 +203,30 @@
   }
 
   private mapToForm(version: number | null): types.ExpertMap {
-    const held = this.map ?? {version: 1, layers: this.firstLayers()};
+    const held = this.committedMap ?? {
+      version: 1,
+      layers: this.initialLayers(),
+    };
     return version === null ? held : {...held, version};
   }
 
-  private firstLayers(): number[][][] {
-    const counts = this.latest?.counts ?? [];
+  private initialLayers(): number[][][] {
+    const counts = this.latestReading?.counts ?? [];
     const experts = counts[0]?.length ?? 0;
-    return load.firstLayers(counts.length, experts, this.latest?.ranks ?? 1);
+    return load.firstLayers(
+      counts.length,
+      experts,
+      this.latestReading?.ranks ?? 1,
+    );
   }
 
-  private noteMap(answer: OrderAnswer, map: types.ExpertMap): void {
+  private recordCommittedMap(answer: OrderAnswer, map: types.ExpertMap): void {
     if (answer.refusal === null) {
-      this.map = map;
+      this.committedMap = map;
     }
   }
 
-  private noteRefusal(order: string, answer: OrderAnswer): OrderAnswer {
+  private logRefusal(order: string, answer: OrderAnswer): OrderAnswer {
     if (answer.refusal !== null) {
       const isStale = answer.refusal === 'old-fence';
       const name = isStale ? 'staleOrderRefused' : 'orderFailed';
--- a/src/peers/app.ts
+++ b/src/peers/app.ts
@@ -1,6 +1,6 @@
 /** Calls between processes that follow the store. */
 import * as v from 'valibot';
-import {convictionSchema} from '../crashes/app';
+import {quarantineSchema} from '../crashes/app';
 import * as rpc from '../rpc/types';
 import * as types from './types';
 
@@ -20,6 +20,6 @@
     /** Where other processes of the same role take calls. */
     peers: v.array(v.string()),
     /** Requests that crash the targets that run them. */
-    convicted: v.array(convictionSchema),
+    convicted: v.array(quarantineSchema),
   }),
 );
--- a/src/peers/peer-follower.ts
+++ b/src/peers/peer-follower.ts
@@ -5,7 +5,7 @@
  * watches, nothing is asked in calm but a greeting now and then, so that peers
  * know of each other when it is needed.
  */
-import type {ConvictionTold} from '../crashes/convictions';
+import type {QuarantineNotice} from '../crashes/quarantine';
 import type {RpcClient} from '../rpc/client';
 import * as app from './app';
 import type {PeerBook} from './peer-book';
@@ -54,7 +54,7 @@
   /** Takes what a peer told. True where it has heard lately. */
   take(news: readonly types.KindNews[], askedAt: number): boolean;
   /** Takes what a peer knows of requests that crash targets. */
-  takeConvicted(convicted: readonly ConvictionTold[]): void;
+  takeConvicted(convicted: readonly QuarantineNotice[]): void;
   /** A peer answered. */
   onAnswer(): void;
 }
--- a/src/requests/admission.test.ts
+++ b/src/requests/admission.test.ts
@@ -1,7 +1,7 @@
 import {Admission, Applicant, Ticket} from './admission';
 import type {Refusal} from './refusals';
 import type {Result} from '../result';
-import {RETURN_MS} from '../targets/rest';
+import {HALF_OPEN_MS} from '../targets/cooldown';
 
 function applicant(): Applicant {
   return {
@@ -84,7 +84,7 @@
       admission.enter(applicant()),
     );
     expect(admission.runningCount).toBe(1);
-    jest.advanceTimersByTime(RETURN_MS);
+    jest.advanceTimersByTime(HALF_OPEN_MS);
     expect(admission.runningCount).toBe(4);
     await Promise.all(entering);
   });
--- a/src/requests/admission.ts
+++ b/src/requests/admission.ts
@@ -6,7 +6,7 @@
  */
 import {Result, fail, ok} from '../result';
 import * as fairQueue from './fair-queue';
-import {Rest} from '../targets/rest';
+import {Cooldown} from '../targets/cooldown';
 import * as refusals from './refusals';
 import {ReturnBook} from './return-book';
 
@@ -63,7 +63,7 @@
   private readonly rates = new Map<string, DecayingRate>();
   private stopped: refusals.Refusal | undefined;
   /** What the target has asked for. */
-  private readonly rest = new Rest();
+  private readonly rest = new Cooldown();
   private restTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly settings: () => AdmissionSettings) {}
@@ -76,7 +76,7 @@
     if (this.stopped !== undefined) {
       return Promise.resolve(fail(this.stopped));
     }
-    if (this.rest.isResting(performance.now())) {
+    if (this.rest.isActive(performance.now())) {
       return Promise.resolve(fail(this.restRefusal()));
     }
     const now = Date.now();
@@ -108,11 +108,11 @@
    */
   askRest(ms: number): boolean {
     const now = performance.now();
-    const isNew = !this.rest.isResting(now);
-    this.rest.ask(ms, now);
+    const isNew = !this.rest.isActive(now);
+    this.rest.start(ms, now);
     // Who waits behind a trial that hangs is let in then.
     clearTimeout(this.restTimer);
-    const leftMs = Math.ceil(this.rest.leftMs(now));
+    const leftMs = Math.ceil(this.rest.remainingMs(now));
     this.restTimer = setTimeout(() => this.startNext(), leftMs);
     this.restTimer.unref();
     const refusal = this.restRefusal();
@@ -122,7 +122,7 @@
 
   /** The target has taken a request that was sent at a monotonic time. */
   noteTaken(sentAt: number): void {
-    this.rest.noteTaken(sentAt);
+    this.rest.noteAccepted(sentAt);
     this.startNext();
   }
 
@@ -151,7 +151,7 @@
   /** Requests that the target may have now. */
   private get capacity(): number {
     const {capacity} = this.settings();
-    return this.rest.isReturning(performance.now())
+    return this.rest.isHalfOpen(performance.now())
       ? Math.min(capacity, 1)
       : capacity;
   }
--- a/src/requests/answers.ts
+++ b/src/requests/answers.ts
@@ -15,7 +15,7 @@
   return {
     [refusals.REQUEST_HEADER]: incoming.id,
     [refusals.OUTCOME_HEADER]: 'ran',
-    [targets.LOAD_HEADER]: targets.printLoad(context.load()),
+    [targets.LOAD_HEADER]: targets.encodeLoad(context.load()),
   };
 }
 
@@ -38,7 +38,7 @@
   incoming: Incoming,
   refusal: refusals.Refusal,
 ): void {
-  const load = targets.printLoad(context.load());
+  const load = targets.encodeLoad(context.load());
   if (!incoming.res.headersSent) {
     incoming.res.setHeader(targets.LOAD_HEADER, load);
   }
--- a/src/requests/entry-assistant.ts
+++ b/src/requests/entry-assistant.ts
@@ -3,7 +3,7 @@
 import * as body from '../http/body';
 import * as httpClient from '../http/client';
 import * as prefixes from '../routing/prefixes';
-import type {Known} from '../targets/directory';
+import type {TargetLocation} from '../targets/directory';
 import * as assistant from './assistant';
 import * as entry from './entry-context';
 import * as forwarding from './entry-forward';
@@ -67,7 +67,7 @@
   }
   // The event's id tells that the target is there: an entry that has just
   // started serves before the list has come that names it.
-  const target = await context.targets.whenFound(
+  const target = await context.targets.waitFor(
     stream.target,
     Math.min(RESUME_PATIENCE_MS, entry.timeLeft(caller)),
     caller.signal,
@@ -93,7 +93,7 @@
 async function pump(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
-  target: Known,
+  target: TargetLocation,
   first: http.IncomingMessage,
   after: number,
 ): Promise<void> {
@@ -169,7 +169,7 @@
 async function resumeAt(
   context: entry.EntryContext,
   caller: entry.CallerRequest,
-  target: Known,
+  target: TargetLocation,
   after: number,
 ): Promise<http.IncomingMessage | undefined> {
   const giveUpAt = Math.min(Date.now() + RESUME_PATIENCE_MS, caller.deadlineAt);
--- a/src/requests/entry-context.ts
+++ b/src/requests/entry-context.ts
@@ -85,7 +85,7 @@
     void context.follower.catchUp(stamp, address);
   }
   const text = body.headerOf(res, targets.LOAD_HEADER);
-  const load = text === undefined ? undefined : targets.readLoad(text);
+  const load = text === undefined ? undefined : targets.decodeLoad(text);
   if (target !== undefined && load !== undefined) {
     context.targets.applyLoad(target, load, Date.now());
   }
--- a/src/requests/entry-forward.ts
+++ b/src/requests/entry-forward.ts
@@ -8,7 +8,7 @@
 import {Result, fail, ok} from '../result';
 import type {Candidate, RoutedRequest} from '../routing/types';
 import type {Target} from '../targets/directory';
-import * as rests from '../targets/rest';
+import * as rests from '../targets/cooldown';
 import * as entry from './entry-context';
 import * as headers from './headers';
 import * as refusals from './refusals';
@@ -84,10 +84,10 @@
   call: Forwarded,
   last: refusals.Refusal | undefined,
 ): refusals.Refusal {
-  const restMs = context.targets.restMs(call.eligible());
+  const restMs = context.targets.cooldownMs(call.eligible());
   if (restMs > 0 && (last === undefined || last.kind === 'resting')) {
     const {outcome} = last ?? {outcome: 'not-run' as const};
-    const retryAfterMs = rests.spreadReturn(restMs);
+    const retryAfterMs = rests.withRetryJitter(restMs);
     const detail = 'all targets have asked for rest';
     return {kind: 'resting', outcome, detail, retryAfterMs};
   }
@@ -125,7 +125,7 @@
 ): Target | undefined {
   const now = Date.now();
   const untried = call.eligible().filter(target => !tried.has(target.id));
-  const open = context.targets.awake(untried);
+  const open = context.targets.filterAvailable(untried);
   const probe = open.find(t => t.health.stateAt(now) === 'probing');
   const healthy = open.filter(t => t.health.stateAt(now) === 'healthy');
   const kept = open.find(target => target.id === returnTo(caller));
@@ -232,7 +232,7 @@
   }
   attempt.result = `status ${sent.value.statusCode}`;
   noteSuccess(context, target);
-  context.targets.noteTaken(target.id, sentAt);
+  context.targets.noteAccepted(target.id, sentAt);
   return ok({target, res: sent.value, done});
 }
 
@@ -276,7 +276,7 @@
     context.log.event('targetLeaving', {target: target.id, by: 'refusal'});
   } else if (refusal.kind === 'resting') {
     const {retryAfterMs = NO_TARGET_RETRY_MS} = refusal;
-    if (context.targets.askRest(target.id, retryAfterMs)) {
+    if (context.targets.startCooldown(target.id, retryAfterMs)) {
       const fields = {target: target.id, restMs: retryAfterMs};
       context.log.event('targetResting', fields);
     }
--- a/src/roles/entry.ts
+++ b/src/roles/entry.ts
@@ -194,7 +194,7 @@
 
   private onInstances(instances: readonly Instance[]): void {
     this.targets.applyInstances(instances);
-    this.poller.wake();
+    this.poller.pollNow();
   }
 
   private subsetSize(): number {
--- a/src/roles/sidecar.ts
+++ b/src/roles/sidecar.ts
@@ -12,7 +12,7 @@
 import {SteadyClock} from '../clock';
 import {Follower} from '../configuration/follower';
 import type {Service} from '../configuration/types';
-import {HttpEngineOrders} from '../groups/engine-orders';
+import {HttpEngineClient} from '../groups/engine-client';
 import {RankService} from '../groups/rank-service';
 import * as body from '../http/body';
 import * as httpClient from '../http/client';
@@ -31,7 +31,7 @@
 import {RpcServer} from '../rpc/server';
 import * as rpcTypes from '../rpc/types';
 import * as targetsApp from '../targets/app';
-import {CallerMemory} from '../targets/callers';
+import {RecentCallers} from '../targets/callers';
 import {EngineProbe} from '../targets/probe';
 import * as targets from '../targets/types';
 import {answerProcessPath} from './process-face';
@@ -63,7 +63,7 @@
   private readonly metrics = new Metrics();
   private readonly clock = new SteadyClock();
   private readonly admission: Admission;
-  private readonly callers = new CallerMemory();
+  private readonly callers = new RecentCallers();
   private readonly context: SidecarContext;
   private readonly assistant: SidecarAssistant;
   private readonly subscriptions = new Subscription();
@@ -194,7 +194,9 @@
 
   private openRank(probe: EngineProbe): void {
     const {id, group, rank, target} = this.cfg;
-    const orders = new HttpEngineOrders(this.agent, target, () => probe.ask());
+    const orders = new HttpEngineClient(this.agent, target, () =>
+      probe.fetchRank(),
+    );
     const service = new RankService(
       {id, group, rank, model: this.serves.name, incarnation: randomUUID()},
       orders,
@@ -206,7 +208,7 @@
       () => this.leaving,
     );
     this.rankService = service;
-    service.serve(this.rpcServer);
+    service.registerHandlers(this.rpcServer);
     service.start();
   }
 
--- a/src/roles/site-follower.ts
+++ b/src/roles/site-follower.ts
@@ -3,8 +3,8 @@
  * as the store tells them, or peers while the store is silent.
  */
 import * as rxjs from 'rxjs';
-import {CrashExchange} from '../crashes/crash-exchange';
-import {LimitExchange} from '../targets/limit-exchange';
+import {CrashCoordinator} from '../crashes/crash-coordinator';
+import {LimitCoordinator} from '../targets/limit-coordinator';
 import {TargetChange, TargetList} from '../forwarding/target-list';
 import type {Target} from '../forwarding/types';
 import type {LostTime} from '../lost-time';
@@ -96,9 +96,9 @@
   private era: number | undefined;
   private readonly book: PeerBook;
   private readonly peers: PeerFollower;
-  private readonly limits: LimitExchange;
+  private readonly limits: LimitCoordinator;
   /** Requests that crash targets. */
-  readonly crashes: CrashExchange;
+  readonly crashes: CrashCoordinator;
   /** Emits once requests can be routed, now or at any time before. */
   private readonly completed = new rxjs.ReplaySubject<void>(1);
   private isLost = false;
@@ -121,12 +121,12 @@
     );
     this.book = new PeerBook(context.rpcAddress, cfg.seeds);
     const peers = new PeerOrder(context.rpcAddress, this.book);
-    this.crashes = new CrashExchange({
+    this.crashes = new CrashCoordinator({
       rpc: context.rpc,
       peers,
       log: context.log,
     });
-    this.limits = new LimitExchange({
+    this.limits = new LimitCoordinator({
       rpc: context.rpc,
       peers,
       limits: this.targets.limits,
@@ -145,7 +145,7 @@
       watchers: now => this.watchersFor(now),
       held: () => this.copies.map(copy => copy.held),
       take: (news, askedAt) => this.takeNews(news, askedAt),
-      takeConvicted: convicted => this.crashes.take(convicted),
+      takeConvicted: convicted => this.crashes.applyNotices(convicted),
       onAnswer: () => context.reach.note(),
     });
   }
@@ -193,7 +193,7 @@
     this.configuration.age(lostMs);
     this.copies.forEach(copy => copy.age(lostMs));
     this.context.reach.age(lostMs);
-    this.limits.beginAgain();
+    this.limits.handleResume();
     this.context.log.event('instanceSuspended', {lostMs: Math.round(lostMs)});
   }
 
@@ -208,7 +208,7 @@
         const held = call.held.find(one => one.kind === copy.kind);
         return copy.tell(held, isSettling, now) ?? [];
       });
-      const convicted = this.crashes.toTell();
+      const convicted = this.crashes.quarantineNotices();
       return {kinds, peers: this.book.toTell(), convicted};
     });
     this.limits.open(server);
--- a/src/targets/callers.ts
+++ b/src/targets/callers.ts
@@ -1,8 +1,8 @@
 /** The entries that called a sidecar lately, to be told when it leaves. */
-const MEMORY_MS = 60_000;
+const RETENTION_MS = 60_000;
 const MAX_CALLERS = 256;
 
-export class CallerMemory {
+export class RecentCallers {
   private readonly seenAt = new Map<string, number>();
 
   note(address: string, now: number): void {
@@ -19,7 +19,7 @@
 
   recent(now: number): string[] {
     return [...this.seenAt]
-      .filter(([, at]) => now - at < MEMORY_MS)
+      .filter(([, at]) => now - at < RETENTION_MS)
       .map(([address]) => address);
   }
 }
--- a/src/targets/directory.test.ts
+++ b/src/targets/directory.test.ts
@@ -36,7 +36,7 @@
 
   it('are found by their id whether or not the entry uses them', () => {
     const targets = directory();
-    expect(targets.members.length).toBe(SUBSET);
+    expect(targets.subset.length).toBe(SUBSET);
     const found = instances.map(({id}) => targets.find(id)?.address);
     expect(found).toEqual(instances.map(({address}) => address));
     expect(targets.find('rank-99')).toBeUndefined();
@@ -48,8 +48,8 @@
     jest.useFakeTimers();
     const targets = new TargetDirectory('entry-1', () => SUBSET);
     const {signal} = new AbortController();
-    const found = targets.whenFound('rank-7', 4_000, signal);
-    const missed = targets.whenFound('rank-99', 4_000, signal);
+    const found = targets.waitFor('rank-7', 4_000, signal);
+    const missed = targets.waitFor('rank-99', 4_000, signal);
     await jest.advanceTimersByTimeAsync(1_000);
     targets.applyInstances(instances);
     await jest.advanceTimersByTimeAsync(200);
--- a/src/targets/directory.ts
+++ b/src/targets/directory.ts
@@ -6,7 +6,7 @@
 import type {Instance} from '../platform/types';
 import * as rendezvous from '../routing/rendezvous';
 import {Health} from './health';
-import {RestBook} from './rest-book';
+import {CooldownTracker} from './cooldown-tracker';
 import {SentLog} from './sent-log';
 import * as types from './types';
 
@@ -28,16 +28,16 @@
 }
 
 /** Where a target is: all that an entry keeps of one it doesn't use. */
-export interface Known {
+export interface TargetLocation {
   readonly id: string;
   readonly address: string;
   readonly hall: string;
 }
 
 /** Between two looks for a target that is waited for, in milliseconds. */
-const LOOK_PAUSE_MS = 100;
+const LOOKUP_INTERVAL_MS = 100;
 /** How long a sidecar's own word outlives the platform's list. */
-const LEAVING_MEMORY_MS = 60_000;
+const LEAVING_RETENTION_MS = 60_000;
 
 /**
  * The targets that one entry uses: the entry's own ranking within each thing
@@ -61,11 +61,11 @@
 
 export class TargetDirectory {
   private readonly targets = new Map<string, Target>();
-  private known: readonly Known[] = [];
+  private subsetLocations: readonly TargetLocation[] = [];
   /** Where each target of the list is, by id: 3,200 at the size to build for. */
-  private listed: ReadonlyMap<string, Known> = new Map();
+  private locations: ReadonlyMap<string, TargetLocation> = new Map();
   private readonly leavingAt = new Map<string, number>();
-  private readonly rests = new RestBook();
+  private readonly cooldowns = new CooldownTracker();
 
   constructor(
     private readonly entryId: string,
@@ -73,7 +73,7 @@
   ) {}
 
   /** Takes over the platform's list. Answers targets to ask for a report. */
-  applyInstances(instances: readonly Instance[]): readonly Known[] {
+  applyInstances(instances: readonly Instance[]): readonly TargetLocation[] {
     const sidecars = instances.filter(i => i.role === 'sidecar');
     const live = sidecars.filter(i => i.state === 'live');
     for (const instance of sidecars) {
@@ -81,22 +81,22 @@
         this.markLeaving(instance.id);
       }
     }
-    this.listed = new Map(
+    this.locations = new Map(
       sidecars.map(({id, address, hall}) => [id, {id, address, hall}]),
     );
-    this.known = chooseSubset(this.entryId, live, this.subsetSize());
-    const ids = new Set(this.known.map(instance => instance.id));
+    this.subsetLocations = chooseSubset(this.entryId, live, this.subsetSize());
+    const ids = new Set(this.subsetLocations.map(instance => instance.id));
     for (const [id, target] of this.targets) {
       if (!ids.has(id) && target.inFlight === 0) {
         this.targets.delete(id);
       }
     }
-    return this.known;
+    return this.subsetLocations;
   }
 
   /** The members of the subset, with or without a report. */
-  get members(): readonly Known[] {
-    return this.known;
+  get subset(): readonly TargetLocation[] {
+    return this.subsetLocations;
   }
 
   /** Takes over a sidecar's own word. */
@@ -134,7 +134,7 @@
       target.state = 'leaving';
     }
     for (const [other, at] of this.leavingAt) {
-      if (at + LEAVING_MEMORY_MS < now) {
+      if (at + LEAVING_RETENTION_MS < now) {
         this.leavingAt.delete(other);
       }
     }
@@ -150,23 +150,23 @@
    * another entry goes on at any of them. Found by the subset alone, callers
    * who changed entries lost their streams in 4 of 65 runs beside load.
    */
-  find(id: string): Known | undefined {
-    return this.targets.get(id) ?? this.listed.get(id);
+  find(id: string): TargetLocation | undefined {
+    return this.targets.get(id) ?? this.locations.get(id);
   }
 
   /**
    * Waits for a target that the platform's list doesn't name yet. Undefined
    * where it has not come within so many milliseconds, or at abort.
    */
-  async whenFound(
+  async waitFor(
     id: string,
     patienceMs: number,
     signal: AbortSignal,
-  ): Promise<Known | undefined> {
+  ): Promise<TargetLocation | undefined> {
     const giveUpAt = Date.now() + patienceMs;
     let found = this.find(id);
     while (found === undefined && Date.now() < giveUpAt && !signal.aborted) {
-      await new Promise(resolve => setTimeout(resolve, LOOK_PAUSE_MS));
+      await new Promise(resolve => setTimeout(resolve, LOOKUP_INTERVAL_MS));
       found = this.find(id);
     }
     return found;
@@ -186,29 +186,33 @@
    * A target has asked for so many milliseconds of rest, through its sidecar.
    * True where it was at none.
    */
-  askRest(id: string, ms: number): boolean {
-    return this.rests.ask(id, ms, performance.now());
+  startCooldown(id: string, ms: number): boolean {
+    return this.cooldowns.start(id, ms, performance.now());
   }
 
   /** Notes that a request goes to a target. */
   noteSent(id: string): void {
-    this.rests.noteSent(id, performance.now());
+    this.cooldowns.noteSent(id, performance.now());
   }
 
   /** A target has taken a request that was sent at a monotonic time. */
-  noteTaken(id: string, sentAt: number): void {
-    this.rests.noteTaken(id, sentAt, performance.now());
+  noteAccepted(id: string, sentAt: number): void {
+    this.cooldowns.noteAccepted(id, sentAt, performance.now());
   }
 
   /** Those of some targets that are not held back. */
-  awake(targets: readonly Target[]): readonly Target[] {
-    return this.rests.awake(targets, ({id}) => id, performance.now());
+  filterAvailable(targets: readonly Target[]): readonly Target[] {
+    return this.cooldowns.filterAvailable(
+      targets,
+      ({id}) => id,
+      performance.now(),
+    );
   }
 
   /** Milliseconds for which all of some targets are held back; 0: not all. */
-  restMs(targets: readonly Target[]): number {
+  cooldownMs(targets: readonly Target[]): number {
     const now = performance.now();
-    const waits = targets.map(({id}) => this.rests.waitMs(id, now));
+    const waits = targets.map(({id}) => this.cooldowns.waitMs(id, now));
     return waits.length === 0 ? 0 : Math.min(...waits);
   }
 
--- a/src/targets/health.ts
+++ b/src/targets/health.ts
@@ -11,7 +11,7 @@
   readonly maxEjectionMs: number;
 }
 
-export const DEFAULT_HEALTH: HealthSettings = {
+export const DEFAULT_HEALTH_SETTINGS: HealthSettings = {
   failuresToEject: 3,
   firstEjectionMs: 1_000,
   maxEjectionMs: 30_000,
@@ -20,21 +20,23 @@
 /** `probing`: one request may try the target. */
 export type HealthState = 'healthy' | 'ejected' | 'probing';
 
-const EJECTION_GROWTH = 2;
+const EJECTION_BACKOFF_FACTOR = 2;
 
 export class Health {
   private failures = 0;
   private ejections = 0;
   private ejectedUntil = 0;
-  private probeOut = false;
+  private isProbeInFlight = false;
 
-  constructor(private readonly settings: HealthSettings = DEFAULT_HEALTH) {}
+  constructor(
+    private readonly settings: HealthSettings = DEFAULT_HEALTH_SETTINGS,
+  ) {}
 
   stateAt(now: number): HealthState {
     if (this.ejections === 0 || this.ejectedUntil === 0) {
       return 'healthy';
     }
-    if (now < this.ejectedUntil || this.probeOut) {
+    if (now < this.ejectedUntil || this.isProbeInFlight) {
       return 'ejected';
     }
     return 'probing';
@@ -42,7 +44,7 @@
 
   /** Notes that a request was sent to a target that is being probed. */
   noteProbe(): void {
-    this.probeOut = true;
+    this.isProbeInFlight = true;
   }
 
   /** True where this success lets the target back in. */
@@ -50,7 +52,7 @@
     const wasOut = this.ejectedUntil !== 0;
     this.failures = 0;
     this.ejectedUntil = 0;
-    this.probeOut = false;
+    this.isProbeInFlight = false;
     if (!wasOut) {
       this.ejections = Math.max(0, this.ejections - 1);
     }
@@ -59,8 +61,8 @@
 
   /** True where this failure ejects the target; `allowed` caps the share. */
   noteFailure(now: number, allowed: boolean): boolean {
-    const wasProbe = this.probeOut;
-    this.probeOut = false;
+    const wasProbe = this.isProbeInFlight;
+    this.isProbeInFlight = false;
     this.failures += 1;
     const isOut = this.ejectedUntil !== 0;
     const enough = this.failures >= this.settings.failuresToEject;
@@ -74,7 +76,7 @@
   /** Ejects at once, for instance for its step time. */
   eject(now: number): void {
     const {firstEjectionMs, maxEjectionMs} = this.settings;
-    const termMs = firstEjectionMs * EJECTION_GROWTH ** this.ejections;
+    const termMs = firstEjectionMs * EJECTION_BACKOFF_FACTOR ** this.ejections;
     this.ejectedUntil = now + Math.min(termMs, maxEjectionMs);
     this.ejections += 1;
     this.failures = 0;
--- a/src/targets/limit-app.ts
+++ b/src/targets/limit-app.ts
@@ -5,16 +5,16 @@
 const amount = v.pipe(v.number(), v.minValue(0));
 const whole = v.pipe(v.number(), v.integer(), v.minValue(0));
 /** Targets that one call is about. Source: as `MOST_LIMITS`. */
-const MOST_ASKS = 4_096;
+const MAX_ASKS = 4_096;
 
 /** What a process knows of a target's limit. */
-const wordSchema = v.object({
+const rateLimitSchema = v.object({
   /** Requests a second; null: the target names no limit any more. */
   perSecond: v.nullable(amount),
   /** Milliseconds for which the process has known it. */
   ageMs: amount,
 });
-export type WordToldByCall = v.InferOutput<typeof wordSchema>;
+export type RateLimitMessage = v.InferOutput<typeof rateLimitSchema>;
 
 /**
  * Borrows permits to send to targets from the process that lends for them, or
@@ -27,9 +27,9 @@
     from: v.string(),
     asks: v.pipe(
       v.array(
-        v.object({lifetime: v.string(), word: wordSchema, wanted: whole}),
+        v.object({lifetime: v.string(), word: rateLimitSchema, wanted: whole}),
       ),
-      v.maxLength(MOST_ASKS),
+      v.maxLength(MAX_ASKS),
     ),
   }),
   v.object({
@@ -46,7 +46,7 @@
         order: v.pipe(v.array(v.string()), v.minLength(1)),
         /** Those of which it has not heard lately, among the first. */
         silent: v.array(v.string()),
-        word: wordSchema,
+        word: rateLimitSchema,
       }),
     ),
   }),
--- a/src/targets/limit-exchange.test.ts
+++ b/src/targets/limit-coordinator.test.ts
@@ -5,15 +5,15 @@
 import {PeerOrder} from '../peers/peer-order';
 import {fail, ok} from '../result';
 import type {RpcClient} from '../rpc/client';
-import {LimitBook} from './limit-book';
-import {LimitExchange} from './limit-exchange';
+import {RateLimitTracker} from './rate-limit-tracker';
+import {LimitCoordinator} from './limit-coordinator';
 
 const TARGET = 'target-1';
 const WINDOW_MS = 4_000;
 const SECOND_MS = 1_000;
-const CONTACT_MS = 3_000;
+const SETTLE_MS = 3_000;
 /** Who was told is bound so much later. */
-const TOLD_MS = 500;
+const LIMIT_GRACE_MS = 500;
 /** Between one look and the next at what entries may send. */
 const STEP_MS = 10;
 
@@ -21,15 +21,15 @@
 
 /** One entry: it sends whenever it may. */
 class SimulatedEntry {
-  readonly limits = new LimitBook();
+  readonly limits = new RateLimitTracker();
   /** From when on it is calm; only then it is bound by the limit. */
-  calmFrom = -Infinity;
+  countedFrom = -Infinity;
   isFrozen = false;
   /** When it first heard of the limit. */
-  toldAt = Infinity;
+  firstSentAt = Infinity;
   handler: Handler | undefined;
   readonly book: PeerBook;
-  readonly exchange: LimitExchange;
+  readonly exchange: LimitCoordinator;
 
   constructor(
     readonly address: string,
@@ -37,7 +37,7 @@
     network: Network,
   ) {
     this.book = new PeerBook(address, seeds);
-    this.exchange = new LimitExchange({
+    this.exchange = new LimitCoordinator({
       rpc: {call: network.callFrom(this)},
       peers: new PeerOrder(address, this.book),
       limits: this.limits,
@@ -50,9 +50,9 @@
   }
 
   /** Something happens to it that lasts for so long. */
-  trouble(ms: number): void {
-    const calmFrom = performance.now() + ms + CONTACT_MS;
-    this.calmFrom = Math.max(this.calmFrom, calmFrom);
+  excludeFor(ms: number): void {
+    const calmFrom = performance.now() + ms + SETTLE_MS;
+    this.countedFrom = Math.max(this.countedFrom, calmFrom);
   }
 }
 
@@ -73,7 +73,7 @@
     const until = performance.now() + ms;
     const before = this.cutUntil.get(address) ?? 0;
     this.cutUntil.set(address, Math.max(before, until));
-    this.entries.get(address)!.trouble(ms);
+    this.entries.get(address)!.excludeFor(ms);
   }
 
   private isCut(address: string): boolean {
@@ -144,21 +144,21 @@
 
   private sendOne(entry: SimulatedEntry): void {
     const now = performance.now();
-    entry.limits.want([TARGET], now);
+    entry.limits.requestPermits([TARGET], now);
     if (entry.limits.waitMs(TARGET, now) > 0) {
       return;
     }
     entry.limits.noteSent(TARGET, now);
     const limit = {kind: 'limit', perSecond: this.perSecond} as const;
-    entry.limits.hear(TARGET, limit, now, now + 1);
-    if (now >= entry.calmFrom && now >= entry.toldAt + TOLD_MS) {
+    entry.limits.applyAdvertised(TARGET, limit, now, now + 1);
+    if (now >= entry.countedFrom && now >= entry.firstSentAt + LIMIT_GRACE_MS) {
       this.sent.push(now);
     }
-    entry.toldAt = Math.min(entry.toldAt, now);
+    entry.firstSentAt = Math.min(entry.firstSentAt, now);
   }
 }
 
-function expectHeld(site: Site, from: number): void {
+function expectLimitHeld(site: Site, from: number): void {
   const counted = site.sent.filter(at => at >= from);
   const most = Math.max(
     0,
@@ -200,9 +200,9 @@
       site = new Site(count, all => [...all]);
       site.perSecond = perSecond;
       const startedAt = performance.now();
-      await site.run(CONTACT_MS + 20_000);
-      const from = startedAt + CONTACT_MS;
-      expectHeld(site, from);
+      await site.run(SETTLE_MS + 20_000);
+      const from = startedAt + SETTLE_MS;
+      expectLimitHeld(site, from);
       const used = usedShare(site, from + SECOND_MS, performance.now());
       expect(used).toBeGreaterThan(0.85);
     },
@@ -212,8 +212,8 @@
     random.seed(7);
     site = new Site(35, all => [...all.slice(0, 3), ...random.sample(all, 8)]);
     const startedAt = performance.now();
-    await site.run(CONTACT_MS + 10_000);
-    expectHeld(site, startedAt + CONTACT_MS);
+    await site.run(SETTLE_MS + 10_000);
+    expectLimitHeld(site, startedAt + SETTLE_MS);
     const from = performance.now() - 6_000;
     expect(usedShare(site, from, performance.now())).toBeGreaterThan(0.85);
   });
@@ -222,13 +222,13 @@
     random.seed(8);
     site = new Site(20, all => [...all]);
     const startedAt = performance.now();
-    await site.run(CONTACT_MS + 5_000);
+    await site.run(SETTLE_MS + 5_000);
     const seeds = site.all.slice(0, 3).map(one => one.address);
     for (let at = 0; at < 20; at += 1) {
       site.network.add(`10.1.${at}.1:7`, seeds);
     }
     await site.run(15_000);
-    expectHeld(site, startedAt + CONTACT_MS);
+    expectLimitHeld(site, startedAt + SETTLE_MS);
     const from = performance.now() - 8_000;
     expect(usedShare(site, from, performance.now())).toBeGreaterThan(0.85);
   });
@@ -239,17 +239,17 @@
       random.seed(frozenMs);
       site = new Site(6, all => [...all]);
       const startedAt = performance.now();
-      await site.run(CONTACT_MS + 4_000);
+      await site.run(SETTLE_MS + 4_000);
       // Each in turn, so that the one that lends is among them.
       for (const entry of site.all) {
         entry.isFrozen = true;
-        entry.trouble(frozenMs);
+        entry.excludeFor(frozenMs);
         await site.run(frozenMs);
         entry.isFrozen = false;
-        await site.run(CONTACT_MS + 2_000);
+        await site.run(SETTLE_MS + 2_000);
       }
-      expectHeld(site, startedAt + CONTACT_MS);
-      const used = usedShare(site, startedAt + CONTACT_MS, performance.now());
+      expectLimitHeld(site, startedAt + SETTLE_MS);
+      const used = usedShare(site, startedAt + SETTLE_MS, performance.now());
       expect(used).toBeGreaterThan(0.5);
     },
   );
@@ -258,13 +258,13 @@
     random.seed(9);
     site = new Site(6, all => [...all]);
     const startedAt = performance.now();
-    await site.run(CONTACT_MS + 4_000);
+    await site.run(SETTLE_MS + 4_000);
     for (const {address} of site.all) {
       site.network.cut(address, 8_000);
-      await site.run(8_000 + CONTACT_MS);
+      await site.run(8_000 + SETTLE_MS);
     }
-    expectHeld(site, startedAt + CONTACT_MS);
-    const used = usedShare(site, startedAt + CONTACT_MS, performance.now());
+    expectLimitHeld(site, startedAt + SETTLE_MS);
+    const used = usedShare(site, startedAt + SETTLE_MS, performance.now());
     expect(used).toBeGreaterThan(0.6);
   });
 
@@ -272,11 +272,11 @@
     random.seed(10);
     site = new Site(12, all => [...all]);
     const startedAt = performance.now();
-    await site.run(CONTACT_MS);
+    await site.run(SETTLE_MS);
     site.network.lossShare = 0.1;
     await site.run(20_000);
-    expectHeld(site, startedAt + CONTACT_MS);
-    const used = usedShare(site, startedAt + CONTACT_MS, performance.now());
+    expectLimitHeld(site, startedAt + SETTLE_MS);
+    const used = usedShare(site, startedAt + SETTLE_MS, performance.now());
     expect(used).toBeGreaterThan(0.5);
   });
 
@@ -288,7 +288,7 @@
       site = new Site(8, all => all.slice(0, 3));
       site.perSecond = random.pick([0.5, 1, 2, 5]);
       const startedAt = performance.now();
-      await site.run(CONTACT_MS + 4_000);
+      await site.run(SETTLE_MS + 4_000);
       for (let turn = 0; turn < 12; turn += 1) {
         const troubled = random.pick(site.all);
         const {address} = troubled;
@@ -296,28 +296,30 @@
         const lastsMs = 300 + random.below(6_000);
         if (what === 0) {
           troubled.isFrozen = true;
-          troubled.trouble(lastsMs);
+          troubled.excludeFor(lastsMs);
           setTimeout(() => (troubled.isFrozen = false), lastsMs);
         } else if (what === 1) {
           site.network.cut(address, lastsMs);
         } else if (what === 2) {
           troubled.exchange.close();
           const seeds = site.all.slice(0, 3).map(one => one.address);
-          site.network.add(address, seeds).trouble(0);
+          site.network.add(address, seeds).excludeFor(0);
         } else {
           site.network.add(`10.2.${turn}.1:7`, [site.all[0]!.address]);
         }
         await site.run(random.below(4_000));
       }
       await site.run(8_000);
-      expectHeld(site, startedAt + CONTACT_MS);
+      expectLimitHeld(site, startedAt + SETTLE_MS);
     },
   );
 
   it('ask nothing of each other where nothing is limited', async () => {
     random.seed(11);
     site = new Site(4, all => [...all]);
-    site.all.forEach(entry => entry.limits.want([TARGET], performance.now()));
+    site.all.forEach(entry =>
+      entry.limits.requestPermits([TARGET], performance.now()),
+    );
     await jest.advanceTimersByTimeAsync(5_000);
     expect(site.network.calls).toBe(0);
   });
--- a/src/targets/limit-lender.test.ts
+++ b/src/targets/permit-issuer.test.ts
@@ -1,13 +1,17 @@
 import * as fc from 'fast-check';
-import {HANDOVER_MS, LimitLender, PERMIT_MS} from './limit-lender';
+import {HANDOVER_DELAY_MS, PermitIssuer, PERMIT_TTL_MS} from './permit-issuer';
 
 const WINDOW_MS = 4_000;
 const SECOND_MS = 1_000;
 
 /** Beats as a process that runs does. */
-function beatUntil(lender: LimitLender, from: number, until: number): void {
+function heartbeatUntil(
+  lender: PermitIssuer,
+  from: number,
+  until: number,
+): void {
   for (let at = from; at < until; at += SECOND_MS) {
-    lender.beat(at);
+    lender.heartbeat(at);
   }
 }
 
@@ -15,51 +19,57 @@
   const word = (perSecond: number | undefined, at = 0) => ({perSecond, at});
 
   it('begins after the one before has ended, with nothing gathered', () => {
-    const lender = new LimitLender();
-    expect(lender.lend('a', word(2), 5, 0).permits).toBe(0);
-    beatUntil(lender, 0, HANDOVER_MS);
-    expect(lender.lend('a', word(2), 5, HANDOVER_MS).permits).toBe(0);
-    expect(lender.lend('a', word(2), 5, HANDOVER_MS + 500).permits).toBe(1);
-    expect(lender.lend('a', word(2), 5, HANDOVER_MS + 600).permits).toBe(0);
+    const lender = new PermitIssuer();
+    expect(lender.grant('a', word(2), 5, 0).permits).toBe(0);
+    heartbeatUntil(lender, 0, HANDOVER_DELAY_MS);
+    expect(lender.grant('a', word(2), 5, HANDOVER_DELAY_MS).permits).toBe(0);
+    expect(lender.grant('a', word(2), 5, HANDOVER_DELAY_MS + 500).permits).toBe(
+      1,
+    );
+    expect(lender.grant('a', word(2), 5, HANDOVER_DELAY_MS + 600).permits).toBe(
+      0,
+    );
   });
 
   it('begins again where it was frozen', () => {
-    const lender = new LimitLender();
-    lender.lend('a', word(2), 0, 0);
-    beatUntil(lender, 0, 4_000);
-    expect(lender.lend('a', word(2), 1, 3_100).permits).toBe(1);
-    expect(lender.lend('a', word(2), 5, 9_000).permits).toBe(0);
-    expect(lender.lend('a', word(2), 5, 9_000 + HANDOVER_MS).permits).toBe(0);
+    const lender = new PermitIssuer();
+    lender.grant('a', word(2), 0, 0);
+    heartbeatUntil(lender, 0, 4_000);
+    expect(lender.grant('a', word(2), 1, 3_100).permits).toBe(1);
+    expect(lender.grant('a', word(2), 5, 9_000).permits).toBe(0);
+    expect(
+      lender.grant('a', word(2), 5, 9_000 + HANDOVER_DELAY_MS).permits,
+    ).toBe(0);
   });
 
   it('goes by what was heard last, whoever tells it', () => {
-    const lender = new LimitLender();
-    lender.lend('a', word(2, 10), 0, 100);
-    expect(lender.lend('a', word(1, 50), 0, 200).word).toEqual(word(1, 50));
-    expect(lender.lend('a', word(9, 40), 0, 300).word).toEqual(word(1, 50));
-    const ended = lender.lend('a', word(undefined, 60), 1, 400);
+    const lender = new PermitIssuer();
+    lender.grant('a', word(2, 10), 0, 100);
+    expect(lender.grant('a', word(1, 50), 0, 200).word).toEqual(word(1, 50));
+    expect(lender.grant('a', word(9, 40), 0, 300).word).toEqual(word(1, 50));
+    const ended = lender.grant('a', word(undefined, 60), 1, 400);
     expect(ended).toEqual({permits: 0, waitMs: 0, word: word(undefined, 60)});
   });
 
   it('now and then tries a target that takes nothing', () => {
-    const lender = new LimitLender();
-    lender.lend('a', word(0), 1, 0);
+    const lender = new PermitIssuer();
+    lender.grant('a', word(0), 1, 0);
     let permits = 0;
     for (let now = 0; now < 60_000; now += 500) {
-      lender.beat(now);
-      permits += lender.lend('a', word(0), 1, now).permits;
+      lender.heartbeat(now);
+      permits += lender.grant('a', word(0), 1, now).permits;
     }
     expect(permits).toBeGreaterThanOrEqual(2);
     expect(permits).toBeLessThanOrEqual(3);
   });
 
   it('forgets targets that nobody wants, and holds a bounded number', () => {
-    const lender = new LimitLender();
+    const lender = new PermitIssuer();
     for (let at = 0; at < 5_000; at += 1) {
-      lender.lend(`t-${at}`, word(1), 1, 0);
+      lender.grant(`t-${at}`, word(1), 1, 0);
     }
     expect(lender.size).toBe(4_096);
-    beatUntil(lender, 0, 40_000);
+    heartbeatUntil(lender, 0, 40_000);
     expect(lender.size).toBe(0);
   });
 
@@ -75,7 +85,7 @@
     const check = (perSecond: number, all: Array<[number, number]>) => {
       const allowed = (1.5 * perSecond * WINDOW_MS) / SECOND_MS + 5;
       // A permit may be used at any time while it holds.
-      const spanMs = WINDOW_MS + PERMIT_MS;
+      const spanMs = WINDOW_MS + PERMIT_TTL_MS;
       for (const [start] of all) {
         const some = all.filter(([at]) => at >= start && at < start + spanMs);
         const sum = some.reduce((total, [, permits]) => total + permits, 0);
@@ -84,13 +94,13 @@
     };
     fc.assert(
       fc.property(asks, limits, (some, perSecond) => {
-        const lender = new LimitLender();
+        const lender = new PermitIssuer();
         const lent: Array<[number, number]> = [];
         let now = 0;
         for (const {afterMs, wanted} of some) {
           now += afterMs;
-          lender.beat(now);
-          const {permits} = lender.lend('a', word(perSecond), wanted, now);
+          lender.heartbeat(now);
+          const {permits} = lender.grant('a', word(perSecond), wanted, now);
           lent.push([now, permits]);
         }
         check(perSecond, lent);
--- a/src/targets/poller.ts
+++ b/src/targets/poller.ts
@@ -5,18 +5,18 @@
 import type {RpcClient} from '../rpc/client';
 import * as random from '../random';
 import * as app from './app';
-import type {Known, TargetDirectory} from './directory';
+import type {TargetLocation, TargetDirectory} from './directory';
 
-const TICK_MS = 500;
+const POLL_INTERVAL_MS = 500;
 /** A target without traffic is asked this often. */
-const QUIET_MS = 10_000;
+const MAX_LOAD_AGE_MS = 10_000;
 const MISSES_TO_UNREACHABLE = 2;
-const TIMEOUT_MS = 2_000;
+const REPORT_TIMEOUT_MS = 2_000;
 
 export class ReportPoller {
   private timer: NodeJS.Timeout | undefined;
   private readonly misses = new Map<string, number>();
-  private readonly asking = new Set<string>();
+  private readonly pending = new Set<string>();
   private closed = false;
 
   constructor(
@@ -25,18 +25,21 @@
   ) {}
 
   /** Looks at once for members that have to be asked. */
-  wake(): void {
+  pollNow(): void {
     clearTimeout(this.timer);
     if (this.closed) {
       return;
     }
     const now = Date.now();
-    for (const member of this.targets.members) {
+    for (const member of this.targets.subset) {
       if (this.isDue(member, now)) {
-        void this.ask(member);
+        void this.requestReport(member);
       }
     }
-    this.timer = setTimeout(() => this.wake(), random.jitter(TICK_MS));
+    this.timer = setTimeout(
+      () => this.pollNow(),
+      random.jitter(POLL_INTERVAL_MS),
+    );
   }
 
   close(): void {
@@ -44,8 +47,8 @@
     clearTimeout(this.timer);
   }
 
-  private isDue(member: Known, now: number): boolean {
-    if (this.asking.has(member.id)) {
+  private isDue(member: TargetLocation, now: number): boolean {
+    if (this.pending.has(member.id)) {
       return false;
     }
     const target = this.targets.reported(member.id);
@@ -53,19 +56,19 @@
       target === undefined ||
       target.address !== member.address ||
       target.state === 'unreachable' ||
-      now - target.loadAt >= QUIET_MS
+      now - target.loadAt >= MAX_LOAD_AGE_MS
     );
   }
 
-  private async ask(member: Known): Promise<void> {
-    this.asking.add(member.id);
+  private async requestReport(member: TargetLocation): Promise<void> {
+    this.pending.add(member.id);
     const answer = await this.rpc.call(
       member.address,
       app.report,
       {},
-      TIMEOUT_MS,
+      REPORT_TIMEOUT_MS,
     );
-    this.asking.delete(member.id);
+    this.pending.delete(member.id);
     if (answer.ok) {
       this.misses.delete(member.id);
       this.targets.applyReport(answer.value, Date.now());
--- a/src/targets/probe.ts
+++ b/src/targets/probe.ts
@@ -7,12 +7,12 @@
 import * as retryAfter from '../http/retry-after';
 import {Log} from '../observability/log';
 import type {Result} from '../result';
-import {Rest} from './rest';
+import {Cooldown} from './cooldown';
 
-const PERIOD_MS = 250;
-const TIMEOUT_MS = 1_000;
+const PROBE_INTERVAL_MS = 250;
+const PROBE_TIMEOUT_MS = 1_000;
 const MISSES_TO_UNREACHABLE = 3;
-const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
 export class EngineProbe {
   private latest: groups.EngineRank | undefined;
@@ -20,7 +20,7 @@
   private timer: NodeJS.Timeout | undefined;
   private closed = false;
   /** What the engine asked for as it turned a look away. */
-  private readonly rest = new Rest();
+  private readonly cooldown = new Cooldown();
 
   constructor(
     private readonly agent: http.Agent,
@@ -40,7 +40,7 @@
   }
 
   start(): void {
-    void this.read();
+    void this.poll();
   }
 
   close(): void {
@@ -49,8 +49,8 @@
   }
 
   /** Asks the engine now; one that wants rest tells nothing. */
-  async ask(): Promise<groups.EngineRank | undefined> {
-    if (this.rest.isResting(performance.now())) {
+  async fetchRank(): Promise<groups.EngineRank | undefined> {
+    if (this.cooldown.isActive(performance.now())) {
       return undefined;
     }
     const answer = await httpClient.fetchWhole(
@@ -59,11 +59,11 @@
         address: this.address,
         method: 'GET',
         path: '/v1/rank',
-        timeoutMs: TIMEOUT_MS,
+        timeoutMs: PROBE_TIMEOUT_MS,
       },
-      MAX_ANSWER_BYTES,
+      MAX_RESPONSE_BYTES,
     );
-    this.hear(answer);
+    this.applyRetryAfter(answer);
     const json = answer.ok
       ? body.parseJson(answer.value.body.toString('utf8'))
       : answer;
@@ -71,31 +71,31 @@
       groups.engineRankSchema,
       json.ok ? json.value : undefined,
     );
-    this.note(parsed.success ? parsed.output : undefined);
+    this.recordReading(parsed.success ? parsed.output : undefined);
     return parsed.success ? parsed.output : undefined;
   }
 
-  private async read(): Promise<void> {
-    const rank = await this.ask();
+  private async poll(): Promise<void> {
+    const rank = await this.fetchRank();
     if (this.closed) {
       return;
     }
     if (rank !== undefined) {
       this.onReading(rank);
     }
-    this.timer = setTimeout(() => void this.read(), PERIOD_MS);
+    this.timer = setTimeout(() => void this.poll(), PROBE_INTERVAL_MS);
   }
 
-  private hear(answer: Result<httpClient.Answer, unknown>): void {
+  private applyRetryAfter(answer: Result<httpClient.Answer, unknown>): void {
     const rest = answer.ok
       ? retryAfter.readRest(answer.value.status, answer.value.headers)
       : undefined;
     if (rest?.kind === 'rest') {
-      this.rest.ask(rest.ms, performance.now());
+      this.cooldown.start(rest.ms, performance.now());
     }
   }
 
-  private note(rank: groups.EngineRank | undefined): void {
+  private recordReading(rank: groups.EngineRank | undefined): void {
     if (rank !== undefined) {
       this.latest = rank;
       this.misses = 0;
--- a/src/targets/limit-book.ts
+++ b/src/targets/rate-limit-tracker.ts
@@ -8,55 +8,55 @@
  */
 import * as bounded from '../bounded';
 import type {LimitNamed} from '../http/server-limit';
-import * as limitWords from './limit-word';
-import type {LimitWord} from './limit-word';
-import {PERMIT_MS} from './limit-lender';
+import * as limitWords from './rate-limit';
+import type {RateLimit} from './rate-limit';
+import {PERMIT_TTL_MS} from './permit-issuer';
 
 /**
  * Lifetimes that are kept; the one heard of longest ago goes first. Source: the
  * size that decides has 3,200 targets.
  */
-export const MOST_LIMITS = 4_096;
+export const MAX_LIMITS = 4_096;
 /** A wish for a permit is given up after so long, in milliseconds. */
-const WANTED_MS = 1_000;
+const DEMAND_TTL_MS = 1_000;
 /** Permits wanted at once: what a target takes in so many seconds, or one. */
-const MOST_WANTED_S = 0.25;
+const MAX_REQUESTED_S = 0.25;
 /** Time until a call that brought nothing is made again, in milliseconds. */
-const ASK_AGAIN_MS = 100;
+const RETRY_DELAY_MS = 100;
 
-interface Held {
-  word: LimitWord;
+interface LimitState {
+  limit: RateLimit;
   /** Monotonic times until which permits hold, the first to end first. */
-  permits: number[];
+  permitExpiries: number[];
   wanted: number;
   wantedAt: number;
   /** Time from which on to ask for permits. */
-  askAt: number;
-  isAsking: boolean;
+  requestAt: number;
+  isRequesting: boolean;
 }
 
 /** What an answer has changed. */
 export type LimitChange = 'named' | 'changed' | 'ended';
 
 /** What to ask a lender for. */
-export interface Wish {
+export interface PermitRequest {
   readonly lifetime: string;
-  readonly word: LimitWord;
+  readonly word: RateLimit;
   /** Permits; 0: only the word is to be told. */
   readonly wanted: number;
 }
 
-export class LimitBook {
+export class RateLimitTracker {
   /** Called when there is something to ask a lender for. */
-  onWanted: () => void = () => undefined;
-  private readonly held = new Map<string, Held>();
+  onDemand: () => void = () => undefined;
+  private readonly states = new Map<string, LimitState>();
 
   /**
    * Takes what an answer names. One without a limit ends it only where it was
    * asked for after the limit was last named: answers overtake each other. What
    * can't be read changes nothing.
    */
-  hear(
+  applyAdvertised(
     lifetime: string,
     named: LimitNamed,
     sentAt: number,
@@ -66,32 +66,32 @@
       case 'unread':
         return undefined;
       case 'none':
-        return this.learn(lifetime, {perSecond: undefined, at: sentAt});
+        return this.update(lifetime, {perSecond: undefined, at: sentAt});
       case 'limit':
-        return this.learn(lifetime, {perSecond: named.perSecond, at: now});
+        return this.update(lifetime, {perSecond: named.perSecond, at: now});
     }
   }
 
   /** Takes what was heard here, or by another process. */
-  learn(lifetime: string, word: LimitWord): LimitChange | undefined {
-    const held = this.held.get(lifetime);
-    const before = held?.word.perSecond;
+  update(lifetime: string, word: RateLimit): LimitChange | undefined {
+    const held = this.states.get(lifetime);
+    const before = held?.limit.perSecond;
     if (held === undefined) {
       if (word.perSecond === undefined) {
         return undefined;
       }
-      this.hold(lifetime, word);
+      this.add(lifetime, word);
       return 'named';
     }
-    held.word = limitWords.later(held.word, word);
-    const after = held.word.perSecond;
+    held.limit = limitWords.newer(held.limit, word);
+    const after = held.limit.perSecond;
     if (after === before) {
       return undefined;
     }
     if (after === undefined) {
-      held.permits = [];
-      held.askAt = -Infinity;
-      this.onWanted();
+      held.permitExpiries = [];
+      held.requestAt = -Infinity;
+      this.onDemand();
       return 'ended';
     }
     return before === undefined ? 'named' : 'changed';
@@ -99,77 +99,81 @@
 
   /** Milliseconds until a lifetime may be sent something; 0: it may now. */
   waitMs(lifetime: string, now: number): number {
-    const held = this.held.get(lifetime);
-    return held === undefined || mayGet(held, now)
+    const held = this.states.get(lifetime);
+    return held === undefined || canSend(held, now)
       ? 0
-      : Math.max(held.askAt - now, 1);
+      : Math.max(held.requestAt - now, 1);
   }
 
   /** Those of some targets that may be sent something. */
-  open<T>(
+  filterAvailable<T>(
     targets: readonly T[],
     lifetimeOf: (target: T) => string,
     now: number,
   ): readonly T[] {
-    return this.held.size === 0
+    return this.states.size === 0
       ? targets
       : targets.filter(target => this.waitMs(lifetimeOf(target), now) === 0);
   }
 
   /** True where a permit is held that will be lost if it isn't used. */
   hasPermit(lifetime: string, now: number): boolean {
-    const held = this.held.get(lifetime);
-    return held !== undefined && isLimited(held) && mayGet(held, now);
+    const held = this.states.get(lifetime);
+    return held !== undefined && isLimited(held) && canSend(held, now);
   }
 
   /** Requests a second that a lifetime takes; undefined: it names no limit. */
   perSecond(lifetime: string): number | undefined {
-    return this.held.get(lifetime)?.word.perSecond;
+    return this.states.get(lifetime)?.limit.perSecond;
   }
 
   /** Notes that a request goes to a lifetime. */
   noteSent(lifetime: string, now: number): void {
-    const held = this.held.get(lifetime);
+    const held = this.states.get(lifetime);
     if (held !== undefined) {
-      held.permits = held.permits.filter(until => until > now).slice(1);
+      held.permitExpiries = held.permitExpiries
+        .filter(until => until > now)
+        .slice(1);
     }
   }
 
   /** A request might go to any of some lifetimes, if there are permits. */
-  want(lifetimes: Iterable<string>, now: number): void {
-    if (this.held.size === 0) {
+  requestPermits(lifetimes: Iterable<string>, now: number): void {
+    if (this.states.size === 0) {
       return;
     }
     let isNew = false;
     for (const lifetime of lifetimes) {
-      const held = this.held.get(lifetime);
-      if (held !== undefined && isLimited(held) && !mayGet(held, now)) {
-        held.wanted = isWanted(held, now) ? held.wanted + 1 : 1;
+      const held = this.states.get(lifetime);
+      if (held !== undefined && isLimited(held) && !canSend(held, now)) {
+        held.wanted = hasDemand(held, now) ? held.wanted + 1 : 1;
         held.wantedAt = now;
         isNew = true;
       }
     }
     if (isNew) {
-      this.onWanted();
+      this.onDemand();
     }
   }
 
   /** When to ask a lender next; undefined: nothing is wanted. */
-  nextAskAt(now: number): number | undefined {
-    const wanting = [...this.held.values()].filter(one => isDue(one, now));
+  nextRequestAt(now: number): number | undefined {
+    const wanting = [...this.states.values()].filter(one =>
+      isRequestDue(one, now),
+    );
     return wanting.length === 0
       ? undefined
-      : Math.min(...wanting.map(({askAt}) => askAt));
+      : Math.min(...wanting.map(({requestAt: askAt}) => askAt));
   }
 
   /** What to ask lenders for now; each is then being asked for. */
-  takeWishes(now: number): Wish[] {
-    const wishes: Wish[] = [];
-    for (const [lifetime, held] of this.held) {
-      if (isDue(held, now) && held.askAt <= now) {
-        held.isAsking = true;
-        const {word} = held;
-        const most = Math.max((word.perSecond ?? 0) * MOST_WANTED_S, 1);
+  takePermitRequests(now: number): PermitRequest[] {
+    const wishes: PermitRequest[] = [];
+    for (const [lifetime, held] of this.states) {
+      if (isRequestDue(held, now) && held.requestAt <= now) {
+        held.isRequesting = true;
+        const {limit: word} = held;
+        const most = Math.max((word.perSecond ?? 0) * MAX_REQUESTED_S, 1);
         const wanted = isLimited(held) ? Math.min(held.wanted, most) : 0;
         wishes.push({lifetime, word, wanted: Math.floor(wanted)});
       }
@@ -178,85 +182,85 @@
   }
 
   /** A lender has answered what was asked at `askedAt`. */
-  noteLent(
+  applyGrant(
     lifetime: string,
     lent: {permits: number; waitMs: number},
     askedAt: number,
     now: number,
   ): void {
-    const held = this.held.get(lifetime);
+    const held = this.states.get(lifetime);
     if (held === undefined) {
       return;
     }
-    held.isAsking = false;
+    held.isRequesting = false;
     if (!isLimited(held)) {
       // The end has been told, so that nothing is left to remember.
-      this.held.delete(lifetime);
+      this.states.delete(lifetime);
       return;
     }
-    const until = askedAt + PERMIT_MS;
-    held.permits = held.permits.filter(at => at > now);
+    const until = askedAt + PERMIT_TTL_MS;
+    held.permitExpiries = held.permitExpiries.filter(at => at > now);
     for (let at = 0; at < lent.permits; at += 1) {
-      held.permits.push(until);
+      held.permitExpiries.push(until);
     }
     held.wanted = Math.max(held.wanted - lent.permits, 0);
-    held.askAt = now + lent.waitMs;
+    held.requestAt = now + lent.waitMs;
   }
 
   /** A call to a lender brought nothing, or the name of another one. */
-  noteFailed(lifetime: string, now: number): void {
-    const held = this.held.get(lifetime);
+  noteRequestFailed(lifetime: string, now: number): void {
+    const held = this.states.get(lifetime);
     if (held === undefined) {
       return;
     }
-    held.isAsking = false;
-    held.askAt = now + ASK_AGAIN_MS;
+    held.isRequesting = false;
+    held.requestAt = now + RETRY_DELAY_MS;
     if (!isLimited(held)) {
       // Others find out by themselves.
-      this.held.delete(lifetime);
+      this.states.delete(lifetime);
     }
   }
 
   /** This instance was suspended: permits of before may be others' by now. */
   dropPermits(): void {
-    this.held.forEach(held => (held.permits = []));
+    this.states.forEach(held => (held.permitExpiries = []));
   }
 
   /** A lifetime is over. */
   forget(lifetime: string): void {
-    this.held.delete(lifetime);
+    this.states.delete(lifetime);
   }
 
   get size(): number {
-    return this.held.size;
+    return this.states.size;
   }
 
-  private hold(lifetime: string, word: LimitWord): void {
-    this.held.set(lifetime, {
-      word,
-      permits: [],
+  private add(lifetime: string, word: RateLimit): void {
+    this.states.set(lifetime, {
+      limit: word,
+      permitExpiries: [],
       wanted: 0,
       wantedAt: -Infinity,
-      askAt: -Infinity,
-      isAsking: false,
+      requestAt: -Infinity,
+      isRequesting: false,
     });
-    bounded.dropOldest(this.held, MOST_LIMITS);
+    bounded.dropOldest(this.states, MAX_LIMITS);
   }
 }
 
-function isLimited(held: Held): boolean {
-  return held.word.perSecond !== undefined;
+function isLimited(held: LimitState): boolean {
+  return held.limit.perSecond !== undefined;
 }
 
-function mayGet(held: Held, now: number): boolean {
-  return !isLimited(held) || held.permits.some(until => until > now);
+function canSend(held: LimitState, now: number): boolean {
+  return !isLimited(held) || held.permitExpiries.some(until => until > now);
 }
 
-function isWanted(held: Held, now: number): boolean {
-  return held.wanted > 0 && now - held.wantedAt < WANTED_MS;
+function hasDemand(held: LimitState, now: number): boolean {
+  return held.wanted > 0 && now - held.wantedAt < DEMAND_TTL_MS;
 }
 
 /** A lender is to be asked for permits, or told that the limit has ended. */
-function isDue(held: Held, now: number): boolean {
-  return !held.isAsking && (!isLimited(held) || isWanted(held, now));
+function isRequestDue(held: LimitState, now: number): boolean {
+  return !held.isRequesting && (!isLimited(held) || hasDemand(held, now));
 }
--- a/src/targets/limit-word.ts
+++ b/src/targets/rate-limit.ts
@@ -3,7 +3,7 @@
  * senders together. Each process hears a part of it; the latest word counts,
  * whoever heard it.
  */
-export interface LimitWord {
+export interface RateLimit {
   /** Requests a second; undefined: it names no limit any more. */
   readonly perSecond: number | undefined;
   /** Monotonic time, in milliseconds, as of which it holds. */
@@ -11,9 +11,9 @@
 }
 
 /** The later one of two words. */
-export function later(
-  held: LimitWord | undefined,
-  other: LimitWord,
-): LimitWord {
+export function newer(
+  held: RateLimit | undefined,
+  other: RateLimit,
+): RateLimit {
   return held === undefined || other.at > held.at ? other : held;
 }
--- a/src/targets/sent-log.ts
+++ b/src/targets/sent-log.ts
@@ -2,7 +2,7 @@
  * What was sent to a target lately. A load report speaks of the time when it
  * was made, so whatever was sent after that has to be added to it.
  */
-const MEMORY_MS = 2_000;
+const RETENTION_MS = 2_000;
 
 interface Sent {
   readonly at: number;
@@ -21,7 +21,7 @@
   /** Notes a request, in order of time. */
   note(at: number, tokens: number): void {
     this.sent.push({at, tokens});
-    while (this.sent[0]!.at < at - MEMORY_MS) {
+    while (this.sent[0]!.at < at - RETENTION_MS) {
       this.sent.shift();
     }
   }
--- a/src/targets/types.ts
+++ b/src/targets/types.ts
@@ -61,19 +61,19 @@
 
 /** Header in which every answer of a sidecar carries its load. */
 export const LOAD_HEADER = 'ferrycleat-load';
-const DECIMALS = 1;
+const LOAD_DECIMALS = 1;
 
 /** The load as a form-encoded text. */
-export function printLoad(load: Load): string {
+export function encodeLoad(load: Load): string {
   const fields = Object.entries(load).map(([name, value]) => [
     name,
-    String(Number(value.toFixed(DECIMALS))),
+    String(Number(value.toFixed(LOAD_DECIMALS))),
   ]);
   return new URLSearchParams(fields as [string, string][]).toString();
 }
 
 /** Undefined where the text is no load. */
-export function readLoad(text: string): Load | undefined {
+export function decodeLoad(text: string): Load | undefined {
   const fields = [...new URLSearchParams(text)].map(([name, value]) => [
     name,
     Number(value),
