--- a/src/crashes/app.ts
+++ b/src/crashes/app.ts
@@ -1,27 +1,26 @@
-/** Calls between entries about requests that crash targets. */
+/** RPC between entries about requests that crash targets. */
 import * as v from 'valibot';
 import * as rpc from '../rpc/types';
 
-/** Requests that one call is about. */
 const MAX_REQUESTS_PER_CALL = 2_048;
 
 export const quarantineSchema = v.object({
   digest: v.string(),
-  /** Milliseconds for which the request is refused yet. */
+  /** Milliseconds until the quarantine ends. */
   leftMs: v.pipe(v.number(), v.minValue(0)),
 });
 
-/** Tells the entry that judges a request how sends of it ended. */
+/** Reports crashes and successes of requests to the entry that arbitrates them. */
 export const report = rpc.method(
   'crashes.report',
   v.object({
-    /** Where the caller takes calls. */
+    /** RPC address of the caller. */
     from: v.string(),
     reports: v.pipe(
       v.array(
         v.object({
           digest: v.string(),
-          /** Lifetime of a target that crashed; null: it was served. */
+          /** Lifetime of the target that crashed; null if the request was served. */
           lifetime: v.nullable(v.string()),
         }),
       ),
@@ -32,7 +31,7 @@
 );
 export type Report = v.InferOutput<typeof report.params>['reports'][number];
 
-/** Tells an entry which requests to refuse. */
+/** Notifies an entry of quarantined requests, which it must refuse. */
 export const convict = rpc.method(
   'crashes.convict',
   v.object({
--- a/src/crashes/crash-check.ts
+++ b/src/crashes/crash-check.ts
@@ -1,13 +1,11 @@
 /**
- * Whether a target has crashed whose connection was lost: nothing listens at its
- * address then. A connection is opened and closed again, and nothing sent. Source:
- * RFC 9293, section 3.10.7.1: a reset answers what comes to a closed port.
+ * Checks whether a target whose connection was lost has crashed: a closed port
+ * refuses a new connection (RFC 9293, section 3.10.7.1). Sends no data.
  */
 import * as net from 'node:net';
 
-/** Time until the check: a process that dies closes its connections first. */
+/** A dying process may close its connections before its listening socket. */
 const CHECK_DELAY_MS = 20;
-/** Longest wait for an answer, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 400;
 
 export async function hasCrashed(address: string): Promise<boolean> {
@@ -18,14 +16,14 @@
       host: address.slice(0, colon),
       port: Number(address.slice(colon + 1)),
     });
-    const end = (isRefused: boolean) => {
+    const finish = (isRefused: boolean) => {
       socket.destroy();
       resolve(isRefused);
     };
-    socket.setTimeout(CONNECT_TIMEOUT_MS, () => end(false));
-    socket.once('connect', () => end(false));
+    socket.setTimeout(CONNECT_TIMEOUT_MS, () => finish(false));
+    socket.once('connect', () => finish(false));
     socket.once('error', (err: NodeJS.ErrnoException) =>
-      end(err.code === 'ECONNREFUSED'),
+      finish(err.code === 'ECONNREFUSED'),
     );
   });
 }
--- a/src/crashes/crash-coordinator.ts
+++ b/src/crashes/crash-coordinator.ts
@@ -1,9 +1,8 @@
 /**
- * Finds requests that crash the targets that run them, together with peers. One
- * entry judges a request, by its digest, from what all tell it of crashes and of
- * what was served; whom it finds guilty, it tells all. So a crash costs a call or
- * two of each entry that lost a request, and only a guilty one is told to all.
- * Nothing is called, and no digest made, where no target crashes.
+ * Finds and quarantines requests that crash targets, together with peers. One entry
+ * arbitrates each request, chosen by its digest: it collects crashes and successes
+ * from all entries and notifies them of a quarantine. Without crashes there are no
+ * calls and no digests.
  */
 import type {Target} from '../forwarding/types';
 import * as grouping from '../grouping';
@@ -16,23 +15,22 @@
 import * as crashCheck from './crash-check';
 import {SuspectTracker} from './suspect-tracker';
 
-/** Longest wait for an answer, in milliseconds: a round trip, a lost packet. */
+/** Allows for a round trip and one lost packet. */
 const RPC_TIMEOUT_MS = 400;
-/** Calls of one message to one peer, at most. */
+/** Attempts to notify one peer. */
 const MAX_ATTEMPTS = 3;
-/** Requests lost with a target so long ago went down with it, in milliseconds. */
+/** Losses on one lifetime within this time count as one crash. */
 const CRASH_WINDOW_MS = 1_000;
-/** Time between two words that a suspect is served, in milliseconds. */
+/** Minimum time between reports that a suspect was served. */
 const SERVED_REPORT_INTERVAL_MS = 1_000;
 
-/** What finding them needs of its process. */
 export interface CrashContext {
   readonly rpc: RpcClient;
   readonly peers: PeerOrder;
   readonly log: Log;
 }
 
-/** Requests that were lost with one lifetime of a target. */
+/** Requests that were in flight to one lifetime when a connection was lost. */
 interface LostRequests {
   readonly digests: Set<string>;
   readonly at: number;
@@ -40,9 +38,9 @@
 }
 
 export class CrashCoordinator {
-  /** Those that this entry judges. */
+  /** Suspects that this entry arbitrates. */
   private readonly arbitratedSuspects = new SuspectTracker();
-  /** Those that this entry has lost, and when it last told of one served. */
+  /** Suspects among the requests that this entry sent. */
   private readonly localSuspects = new SuspectTracker();
   private readonly servedReportedAt = new Map<string, number>();
   private readonly quarantine = new Quarantine();
@@ -55,7 +53,7 @@
   open(server: RpcServer): void {
     server.handle(app.report, ({from, reports}) => {
       this.context.peers.noteHeard(from);
-      reports.forEach(one => this.judge(one));
+      reports.forEach(one => this.handleReport(one));
       return {};
     });
     server.handle(app.convict, ({from, convicted}) => {
@@ -69,13 +67,13 @@
     this.isClosed = true;
   }
 
-  /** True where a request may be known; else no digest is needed. */
+  /** False if no request is suspected or quarantined: no digests are needed then. */
   get isActive(): boolean {
     const now = performance.now();
     return !this.localSuspects.isEmpty(now) || !this.quarantine.isEmpty(now);
   }
 
-  /** True where a request that has come is to be refused. */
+  /** True if the request must be refused; renews its quarantine. */
   refuses(digest: string): boolean {
     const now = performance.now();
     const isRefused = this.quarantine.checkAndRenew(digest, now);
@@ -85,28 +83,28 @@
     return isRefused;
   }
 
-  /** The connection that carried a request to a target was lost. */
+  /** Records that the connection carrying a request was lost. */
   noteLost(target: Target, digest: string): void {
     const now = performance.now();
     const {lifetime} = target;
-    const before = this.lostRequests.get(lifetime);
-    if (before !== undefined && now - before.at < CRASH_WINDOW_MS) {
-      before.digests.add(digest);
-      if (before.isCrash) {
+    const previous = this.lostRequests.get(lifetime);
+    if (previous !== undefined && now - previous.at < CRASH_WINDOW_MS) {
+      previous.digests.add(digest);
+      if (previous.isCrash) {
         this.report([{digest, lifetime}]);
       }
       return;
     }
-    const loss = {digests: new Set([digest]), at: now, isCrash: false};
-    this.lostRequests.set(lifetime, loss);
+    const lost = {digests: new Set([digest]), at: now, isCrash: false};
+    this.lostRequests.set(lifetime, lost);
     setTimeout(
       () => this.lostRequests.delete(lifetime),
       CRASH_WINDOW_MS,
     ).unref();
-    void this.checkForCrash(target, loss);
+    void this.checkForCrash(target, lost);
   }
 
-  /** A request was served. */
+  /** Records that a request was served. */
   noteServed(digest: string): void {
     const now = performance.now();
     const toldAt = this.servedReportedAt.get(digest) ?? -Infinity;
@@ -123,12 +121,12 @@
     }
   }
 
-  /** What a process that has just started should know. */
+  /** All quarantined requests, for a process that has just started. */
   quarantineNotices(): QuarantineNotice[] {
     return this.quarantine.notices(performance.now());
   }
 
-  /** Takes what a peer knows to be guilty. */
+  /** Applies the quarantine of a peer. */
   applyNotices(convicted: readonly QuarantineNotice[]): void {
     const now = performance.now();
     for (const {digest, leftMs} of convicted) {
@@ -140,22 +138,22 @@
 
   private async checkForCrash(
     target: Target,
-    loss: LostRequests,
+    lost: LostRequests,
   ): Promise<void> {
     if (!(await crashCheck.hasCrashed(target.address)) || this.isClosed) {
       return;
     }
-    loss.isCrash = true;
+    lost.isCrash = true;
     const {lifetime} = target;
     this.context.log.event('targetCrashed', {
       target: target.id,
       service: target.service,
-      lost: loss.digests.size,
+      lost: lost.digests.size,
     });
-    this.report([...loss.digests].map(digest => ({digest, lifetime})));
+    this.report([...lost.digests].map(digest => ({digest, lifetime})));
   }
 
-  /** Tells those that judge. */
+  /** Tells those that arbiter. */
   private report(reports: readonly app.Report[]): void {
     const {peers} = this.context;
     const now = performance.now();
@@ -164,36 +162,36 @@
         this.localSuspects.noteCrash(digest, lifetime, now);
       }
     }
-    const byJudge = grouping.groupBy(
+    const byArbiter = grouping.groupBy(
       reports,
       ({digest}) => peers.answering(digest)[0]!,
     );
-    for (const [judge, some] of byJudge) {
-      if (judge === peers.own) {
-        some.forEach(one => this.judge(one));
+    for (const [arbiter, batch] of byArbiter) {
+      if (arbiter === peers.own) {
+        batch.forEach(one => this.handleReport(one));
       } else {
-        void this.sendReports(judge, some);
+        void this.sendReports(arbiter, batch);
       }
     }
   }
 
   private async sendReports(
-    judge: string,
+    arbiter: string,
     reports: readonly app.Report[],
   ): Promise<void> {
     const {rpc, peers} = this.context;
     const params = {from: peers.own, reports: [...reports]};
-    const answer = await rpc.call(judge, app.report, params, RPC_TIMEOUT_MS);
+    const answer = await rpc.call(arbiter, app.report, params, RPC_TIMEOUT_MS);
     if (answer.ok) {
-      peers.noteHeard(judge);
+      peers.noteHeard(arbiter);
     } else if (!this.isClosed) {
-      // The next one judges; two that both do convict nobody too early.
-      peers.noteSilent(judge);
+      // The next peer takes over. Split reports can only delay a quarantine.
+      peers.noteSilent(arbiter);
       this.report(reports);
     }
   }
 
-  private judge({digest, lifetime}: app.Report): void {
+  private handleReport({digest, lifetime}: app.Report): void {
     const now = performance.now();
     if (lifetime === null) {
       this.arbitratedSuspects.noteServed(digest, now);
@@ -222,7 +220,11 @@
   ): Promise<void> {
     const {rpc, peers} = this.context;
     const params = {from: peers.own, convicted: [...convicted]};
-    for (let tries = 0; tries < MAX_ATTEMPTS && !this.isClosed; tries += 1) {
+    for (
+      let attempt = 0;
+      attempt < MAX_ATTEMPTS && !this.isClosed;
+      attempt += 1
+    ) {
       const answer = await rpc.call(peer, app.convict, params, RPC_TIMEOUT_MS);
       if (answer.ok) {
         peers.noteHeard(peer);
--- a/src/crashes/quarantine.ts
+++ b/src/crashes/quarantine.ts
@@ -1,23 +1,23 @@
 /**
- * Requests that are refused because they crash the targets that run them, for a
- * time that each return of them renews. Pure over a clock reading.
+ * Requests that are refused because they crash targets. Each attempt to send one
+ * renews its quarantine. Takes the time as an argument.
  */
 import * as bounded from '../bounded';
 
-/** Time for which a request is refused, in milliseconds, since it last came. */
+/** Counted from the latest attempt to send the request. */
 export const QUARANTINE_MS = 120_000;
-/** Requests that are kept; the one that came longest ago goes first. */
+/** The request added longest ago is dropped first. */
 const MAX_QUARANTINED = 1_024;
-/** Time after which others are told again of one that goes on coming. */
+/** Peers are notified again of a request that is still being sent. */
 const NOTIFY_INTERVAL_MS = 30_000;
 
 interface QuarantineEntry {
   endsAt: number;
-  /** When others were last told. */
+  /** When peers were last notified. */
   notifiedAt: number;
 }
 
-/** What others are told. */
+/** A quarantined request, as sent to peers. */
 export interface QuarantineNotice {
   readonly digest: string;
   readonly leftMs: number;
@@ -25,25 +25,25 @@
 
 export class Quarantine {
   private readonly entries = new Map<string, QuarantineEntry>();
-  /** Until when any request may be refused. */
+  /** Latest end of all entries. */
   private lastEndsAt = -Infinity;
 
-  /** Refuses a request from now on; true where it was not refused before. */
+  /** Quarantines a request; true if it was not quarantined before. */
   add(digest: string, leftMs: number, now: number): boolean {
     const isNew = !this.has(digest, now);
-    const until = now + Math.min(leftMs, QUARANTINE_MS);
+    const endsAt = now + Math.min(leftMs, QUARANTINE_MS);
     const before = this.entries.get(digest);
-    this.lastEndsAt = Math.max(this.lastEndsAt, until);
+    this.lastEndsAt = Math.max(this.lastEndsAt, endsAt);
     this.entries.delete(digest);
     this.entries.set(digest, {
-      endsAt: Math.max(until, before?.endsAt ?? 0),
+      endsAt: Math.max(endsAt, before?.endsAt ?? 0),
       notifiedAt: now,
     });
     bounded.dropOldest(this.entries, MAX_QUARANTINED);
     return isNew;
   }
 
-  /** True where a request that has come is to be refused. */
+  /** True if a request must be refused; renews its quarantine. */
   checkAndRenew(digest: string, now: number): boolean {
     const held = this.has(digest, now);
     if (held) {
@@ -53,7 +53,7 @@
     return held;
   }
 
-  /** True once in a while for one that goes on coming: others are told then. */
+  /** True if peers must be notified again; records the notification. */
   takeNotification(digest: string, now: number): boolean {
     const held = this.entries.get(digest);
     const isDue =
@@ -64,14 +64,14 @@
     return isDue;
   }
 
-  /** What a process that has just started should know. */
+  /** All active entries, for a process that has just started. */
   notices(now: number): QuarantineNotice[] {
     return [...this.entries]
-      .filter(([, {endsAt: until}]) => until > now)
-      .map(([digest, {endsAt: until}]) => ({digest, leftMs: until - now}));
+      .filter(([, {endsAt}]) => endsAt > now)
+      .map(([digest, {endsAt}]) => ({digest, leftMs: endsAt - now}));
   }
 
-  /** True where none is refused any more. */
+  /** True if no quarantine is active. */
   isEmpty(now: number): boolean {
     return now >= this.lastEndsAt;
   }
--- a/src/crashes/suspect-tracker.ts
+++ b/src/crashes/suspect-tracker.ts
@@ -1,17 +1,16 @@
 /**
- * Requests that were under way as targets crashed, known in the field as queries of
- * death where they are the cause. A target dies with several requests in flight, so
- * one crash proves nothing of any of them: a request is guilty that was under way in
- * the crashes of several lifetimes and is hardly ever served. One that many callers
- * send is served meanwhile. Pure over a clock reading.
+ * Requests that were in flight when targets crashed (suspected queries of death).
+ * Other requests are in flight in a crash too, so a request is quarantined only
+ * after crashes of several lifetimes that outnumber its successes. Takes the time
+ * as an argument.
  */
 import * as bounded from '../bounded';
 
-/** Crashes of different lifetimes, beyond what was served, that make guilty. */
+/** Crashed lifetimes minus successes. */
 const CRASHES_TO_QUARANTINE = 3;
-/** What is known of a request is forgotten after so long, in milliseconds. */
+/** Counted from the request's latest crash. */
 const SUSPECT_TTL_MS = 60_000;
-/** Requests that are kept; the one suspected longest ago goes first. */
+/** The request whose latest crash is oldest is dropped first. */
 const MAX_SUSPECTS = 2_048;
 
 interface Suspect {
@@ -22,10 +21,10 @@
 
 export class SuspectTracker {
   private readonly suspects = new Map<string, Suspect>();
-  /** When a request was last under way in a crash. */
+  /** Time of the latest crash of any request. */
   private lastCrashAt = -Infinity;
 
-  /** A request was under way as a lifetime of a target crashed. */
+  /** Records a request that was in flight when a target crashed. */
   noteCrash(digest: string, lifetime: string, now: number): void {
     const suspect = this.unexpired(digest, now) ?? {
       lifetimes: new Set(),
@@ -40,7 +39,7 @@
     bounded.dropOldest(this.suspects, MAX_SUSPECTS);
   }
 
-  /** A suspected request was served. */
+  /** Records a success; ignored unless the request is a suspect. */
   noteServed(digest: string, now: number): void {
     const suspect = this.unexpired(digest, now);
     if (suspect !== undefined) {
@@ -48,7 +47,7 @@
     }
   }
 
-  /** True where a request was under way in a crash lately. */
+  /** True if the request was in flight in a recent crash. */
   isSuspect(digest: string, now: number): boolean {
     return this.unexpired(digest, now) !== undefined;
   }
@@ -61,7 +60,7 @@
     );
   }
 
-  /** True where nothing has crashed lately. */
+  /** True if there was no recent crash. */
   isEmpty(now: number): boolean {
     return now - this.lastCrashAt > SUSPECT_TTL_MS;
   }
--- a/src/targets/app.ts
+++ b/src/targets/app.ts
@@ -1,16 +1,16 @@
-/** RPC face of a target. */
+/** RPC methods about targets. */
 import * as v from 'valibot';
 import * as rpc from '../rpc/types';
 import {targetReportSchema} from './types';
 
-/** The sidecar's own word on its target. */
+/** Returns the sidecar's report on its target. */
 export const report = rpc.method(
   'targets.report',
   v.object({}),
   targetReportSchema,
 );
 
-/** A sidecar tells an entry that it leaves. */
+/** Notifies an entry that the sidecar's target is leaving. */
 export const leaving = rpc.method(
   'targets.leaving',
   v.object({id: v.string()}),
--- a/src/targets/callers.ts
+++ b/src/targets/callers.ts
@@ -1,4 +1,4 @@
-/** The entries that called a sidecar lately, to be told when it leaves. */
+/** Entries that called a sidecar recently; they are notified when it leaves. */
 const RETENTION_MS = 60_000;
 const MAX_CALLERS = 256;
 
--- a/src/targets/cooldown-tracker.ts
+++ b/src/targets/cooldown-tracker.ts
@@ -1,49 +1,40 @@
 /**
- * What targets have asked for in their answers, by lifetime: who starts again
- * has asked for nothing. Whoever chooses among targets asks here, whatever the
- * request and however often it was sent before: what fails at once looks idle, and
- * would get the more the busier the others are.
+ * Cooldowns of targets, by lifetime: a restarted target has none. Keeps a target
+ * that fails fast from looking idle and attracting more requests.
  */
 import * as bounded from '../bounded';
 import {Cooldown} from './cooldown';
 
-/**
- * Lifetimes that are kept; the one that asked longest ago goes first. Source:
- * the size that decides has 3,200 targets.
- */
+/** The cooldown started or extended longest ago is dropped first. */
 export const MAX_COOLDOWNS = 4_096;
 
 export class CooldownTracker {
-  /** The one that asked longest ago first. */
+  /** In order of their latest start. */
   private readonly cooldowns = new Map<string, Cooldown>();
 
-  /**
-   * A lifetime of a target has asked for so many milliseconds of rest. True
-   * where it was at none.
-   */
+  /** Starts or extends a cooldown; true if none was active. */
   start(lifetime: string, ms: number, now: number): boolean {
     const isNew = !this.isActive(lifetime, now);
-    const rest = this.cooldowns.get(lifetime) ?? new Cooldown();
+    const cooldown = this.cooldowns.get(lifetime) ?? new Cooldown();
     this.cooldowns.delete(lifetime);
-    this.cooldowns.set(lifetime, rest);
-    rest.start(ms, now);
+    this.cooldowns.set(lifetime, cooldown);
+    cooldown.start(ms, now);
     if (this.cooldowns.size > MAX_COOLDOWNS) {
       this.prune(now);
     }
     return isNew;
   }
 
-  /** True until the end of the rest that a lifetime has asked for. */
   isActive(lifetime: string, now: number): boolean {
     return this.cooldowns.get(lifetime)?.isActive(now) ?? false;
   }
 
-  /** Milliseconds until a lifetime may be sent something; 0: it may now. */
+  /** Milliseconds until a request may be sent; 0 means now. */
   waitMs(lifetime: string, now: number): number {
     return this.cooldowns.get(lifetime)?.waitMs(now) ?? 0;
   }
 
-  /** Those of some targets that may be sent something. */
+  /** The targets that a request may be sent to now. */
   filterAvailable<T>(
     targets: readonly T[],
     lifetimeOf: (target: T) => string,
@@ -54,23 +45,22 @@
       : targets.filter(target => this.waitMs(lifetimeOf(target), now) === 0);
   }
 
-  /** Notes that a request goes to a lifetime. */
+  /** Records a request to a target. */
   noteSent(lifetime: string, now: number): void {
     this.cooldowns.get(lifetime)?.noteSent(now);
   }
 
-  /** A lifetime has taken a request; true where it is used as before now. */
+  /** Records an accepted request; true if it ended the cooldown. */
   noteAccepted(lifetime: string, sentAt: number, now: number): boolean {
-    const rest = this.cooldowns.get(lifetime);
-    rest?.noteAccepted(sentAt);
-    const isOver = rest?.isOver(now) ?? false;
+    const cooldown = this.cooldowns.get(lifetime);
+    cooldown?.noteAccepted(sentAt);
+    const isOver = cooldown?.isOver(now) ?? false;
     if (isOver) {
       this.cooldowns.delete(lifetime);
     }
     return isOver;
   }
 
-  /** A lifetime is over. */
   forget(lifetime: string): void {
     this.cooldowns.delete(lifetime);
   }
@@ -80,8 +70,8 @@
   }
 
   private prune(now: number): void {
-    for (const [lifetime, rest] of this.cooldowns) {
-      if (rest.isOver(now)) {
+    for (const [lifetime, cooldown] of this.cooldowns) {
+      if (cooldown.isOver(now)) {
         this.cooldowns.delete(lifetime);
       }
     }
--- a/src/targets/cooldown.ts
+++ b/src/targets/cooldown.ts
@@ -1,58 +1,50 @@
 /**
- * A rest that a target has asked for: it gets nothing until it is over, then one
- * request at a time until it has taken one. Pure over a clock reading.
+ * The cooldown of a target that has asked for a pause: no requests until it ends,
+ * then half-open, with one request at a time until one is accepted. Takes the time
+ * as an argument.
  */
 import * as random from '../random';
 
 /**
- * Part of the rest by which it is lengthened, at most and at random. A target
- * that is full asks all entries for the same rest within some tenths of a
- * second; without it they come back together.
+ * Largest random extension, as a share of the cooldown: a target asks all entries
+ * for the same pause, and they should not return together.
  */
 const COOLDOWN_JITTER = 0.1;
-/** Time after the rest between requests while none was taken, in milliseconds. */
+/** Time between requests to a half-open target. */
 export const TRIAL_INTERVAL_MS = 250;
 /**
- * Time after the rest in which a target gets one request at a time, in
- * milliseconds: that of some trials. Then it is used as any other, also where
- * its answers take longer than that.
+ * A target leaves the half-open state after this time, even if no request was
+ * answered yet.
  */
 export const HALF_OPEN_MS = 2_000;
 
-/**
- * Part of a rest by which callers' return is spread after its end: those that
- * were refused all through it would come back at one moment.
- */
+/** Largest random delay of a refused caller's retry, as a share of the cooldown. */
 const CALLER_RETRY_JITTER = 0.5;
 
-/** When a caller should come back that is refused for a rest of so long. */
-export function withRetryJitter(restMs: number): number {
-  return restMs * (1 + CALLER_RETRY_JITTER * random.unit());
+/** Milliseconds after which a caller refused for a cooldown should retry. */
+export function withRetryJitter(cooldownMs: number): number {
+  return cooldownMs * (1 + CALLER_RETRY_JITTER * random.unit());
 }
 
 export class Cooldown {
-  /** When it ends. */
   private endsAt = -Infinity;
   private lastTrialAt = -Infinity;
   private hasAccepted = true;
 
-  /**
-   * A target asks for so many milliseconds. The latest end counts: answers of
-   * requests that were under way together come in any order.
-   */
+  /** Starts or extends the cooldown; the latest end counts. */
   start(ms: number, now: number): void {
-    const until = now + ms * (1 + COOLDOWN_JITTER * random.unit());
-    this.endsAt = Math.max(this.endsAt, until);
+    const endsAt = now + ms * (1 + COOLDOWN_JITTER * random.unit());
+    this.endsAt = Math.max(this.endsAt, endsAt);
     this.lastTrialAt = -Infinity;
     this.hasAccepted = false;
   }
 
-  /** True until its end; then the target may get one request at a time. */
+  /** True until the cooldown ends; the half-open state is not included. */
   isActive(now: number): boolean {
     return now < this.endsAt;
   }
 
-  /** Milliseconds until the target may be sent something; 0: it may now. */
+  /** Milliseconds until a request may be sent; 0 means now. */
   waitMs(now: number): number {
     if (this.isActive(now)) {
       return this.endsAt - now;
@@ -62,32 +54,29 @@
       : 0;
   }
 
-  /** True where nothing is held back any more. */
+  /** True if the cooldown has ended and the target is not half-open. */
   isOver(now: number): boolean {
     return !this.isActive(now) && !this.isHalfOpen(now);
   }
 
-  /** Milliseconds until nothing is held back, whatever becomes of trials. */
+  /** Milliseconds until the half-open state ends at the latest. */
   remainingMs(now: number): number {
     return Math.max(this.endsAt + HALF_OPEN_MS - now, 0);
   }
 
-  /** Notes that a request goes to the target. */
+  /** Records a request to the target. */
   noteSent(now: number): void {
     if (!this.isActive(now)) {
       this.lastTrialAt = now;
     }
   }
 
-  /**
-   * The target has taken a request. One that was sent before the rest's end says
-   * nothing of how it is after it.
-   */
+  /** Records an accepted request; ignored if sent before the cooldown ended. */
   noteAccepted(sentAt: number): void {
     this.hasAccepted ||= sentAt >= this.endsAt;
   }
 
-  /** True after its end while no request was taken, for some trials. */
+  /** True after the cooldown until a request is accepted, at most HALF_OPEN_MS. */
   isHalfOpen(now: number): boolean {
     return (
       !this.hasAccepted &&
--- a/src/targets/directory.ts
+++ b/src/targets/directory.ts
@@ -1,7 +1,7 @@
 /**
- * The targets an entry knows: the platform's lagging list adds them and
- * marks them leaving, the sidecars' own word goes first. The entry keeps the
- * state of its subset only, and of all others no more than where they are.
+ * The targets known to an entry, from the platform's instance list and from the
+ * sidecars' reports, which are more recent. The entry keeps the state of its
+ * subset only; for all other targets it keeps their locations.
  */
 import type {Instance} from '../platform/types';
 import * as rendezvous from '../routing/rendezvous';
@@ -21,27 +21,25 @@
   load: types.Load;
   /** Unix milliseconds of the load's report. */
   loadAt: number;
-  /** What this entry sent lately. */
+  /** What this entry sent recently. */
   readonly sent: SentLog;
-  /** Requests of this entry that are at the target now. */
+  /** Number of this entry's requests in flight to the target. */
   inFlight: number;
 }
 
-/** Where a target is: all that an entry keeps of one it doesn't use. */
+/** Where a target is reached. */
 export interface TargetLocation {
   readonly id: string;
   readonly address: string;
   readonly hall: string;
 }
 
-/** Between two looks for a target that is waited for, in milliseconds. */
 const LOOKUP_INTERVAL_MS = 100;
-/** How long a sidecar's own word outlives the platform's list. */
 const LEAVING_RETENTION_MS = 60_000;
 
 /**
- * The targets that one entry uses: the entry's own ranking within each thing
- * that is served, so a target that comes or goes changes one place at most.
+ * The targets that one entry uses, chosen by rendezvous hashing for each model
+ * rank or service, so that an added or removed target changes at most one place.
  */
 export function chooseSubset(
   entryId: string,
@@ -62,7 +60,7 @@
 export class TargetDirectory {
   private readonly targets = new Map<string, Target>();
   private subsetLocations: readonly TargetLocation[] = [];
-  /** Where each target of the list is, by id: 3,200 at the size to build for. */
+  /** By target id, for the platform's whole list. */
   private locations: ReadonlyMap<string, TargetLocation> = new Map();
   private readonly leavingAt = new Map<string, number>();
   private readonly cooldowns = new CooldownTracker();
@@ -72,7 +70,7 @@
     private readonly subsetSize: () => number,
   ) {}
 
-  /** Takes over the platform's list. Answers targets to ask for a report. */
+  /** Applies the platform's list; returns the targets of the subset. */
   applyInstances(instances: readonly Instance[]): readonly TargetLocation[] {
     const sidecars = instances.filter(i => i.role === 'sidecar');
     const live = sidecars.filter(i => i.state === 'live');
@@ -99,10 +97,9 @@
     return this.subsetLocations;
   }
 
-  /** Takes over a sidecar's own word. */
   applyReport(report: types.TargetReport, now: number): void {
-    const held = this.targets.get(report.id);
-    const target = held?.address === report.address ? held : undefined;
+    const previous = this.targets.get(report.id);
+    const target = previous?.address === report.address ? previous : undefined;
     this.targets.set(report.id, {
       id: report.id,
       address: report.address,
@@ -120,13 +117,12 @@
     }
   }
 
-  /** Takes over the load that an answer carried. */
   applyLoad(target: Target, load: types.Load, now: number): void {
     target.load = load;
     target.loadAt = now;
   }
 
-  /** No new work for this target from now on. */
+  /** Stops new requests to this target. */
   markLeaving(id: string, now = Date.now()): void {
     this.leavingAt.set(id, now);
     const target = this.targets.get(id);
@@ -140,67 +136,63 @@
     }
   }
 
-  /** A target of the subset that has told of itself. */
+  /** A target whose report was received. */
   reported(id: string): Target | undefined {
     return this.targets.get(id);
   }
 
   /**
-   * Where a target is, used by this entry or not: a stream that began through
-   * another entry goes on at any of them. Found by the subset alone, callers
-   * who changed entries lost their streams in 4 of 65 runs beside load.
+   * Finds a target in or outside the subset: a caller may resume a stream here
+   * that it started through another entry.
    */
   find(id: string): TargetLocation | undefined {
     return this.targets.get(id) ?? this.locations.get(id);
   }
 
   /**
-   * Waits for a target that the platform's list doesn't name yet. Undefined
-   * where it has not come within so many milliseconds, or at abort.
+   * Waits until a target appears in the platform's list. Undefined on time-out or
+   * abort.
    */
   async waitFor(
     id: string,
-    patienceMs: number,
+    timeoutMs: number,
     signal: AbortSignal,
   ): Promise<TargetLocation | undefined> {
-    const giveUpAt = Date.now() + patienceMs;
+    const timeoutAt = Date.now() + timeoutMs;
     let found = this.find(id);
-    while (found === undefined && Date.now() < giveUpAt && !signal.aborted) {
+    while (found === undefined && Date.now() < timeoutAt && !signal.aborted) {
       await new Promise(resolve => setTimeout(resolve, LOOKUP_INTERVAL_MS));
       found = this.find(id);
     }
     return found;
   }
 
-  /** Targets that may get new work for a model. */
+  /** Live targets of a model. */
   forModel(name: string): Target[] {
     return this.servingLive('model', name);
   }
 
-  /** Targets that may get new work for a plain service. */
+  /** Live targets of a service. */
   forService(name: string): Target[] {
     return this.servingLive('service', name);
   }
 
-  /**
-   * A target has asked for so many milliseconds of rest, through its sidecar.
-   * True where it was at none.
-   */
+  /** Starts or extends a target's cooldown; true if none was active. */
   startCooldown(id: string, ms: number): boolean {
     return this.cooldowns.start(id, ms, performance.now());
   }
 
-  /** Notes that a request goes to a target. */
+  /** Records a request to a target. */
   noteSent(id: string): void {
     this.cooldowns.noteSent(id, performance.now());
   }
 
-  /** A target has taken a request that was sent at a monotonic time. */
+  /** Records an accepted request, sent at monotonic time `sentAt`. */
   noteAccepted(id: string, sentAt: number): void {
     this.cooldowns.noteAccepted(id, sentAt, performance.now());
   }
 
-  /** Those of some targets that are not held back. */
+  /** The targets that no cooldown holds back. */
   filterAvailable(targets: readonly Target[]): readonly Target[] {
     return this.cooldowns.filterAvailable(
       targets,
@@ -209,14 +201,14 @@
     );
   }
 
-  /** Milliseconds for which all of some targets are held back; 0: not all. */
+  /** Milliseconds until the first target is available; 0 if one is. */
   cooldownMs(targets: readonly Target[]): number {
     const now = performance.now();
     const waits = targets.map(({id}) => this.cooldowns.waitMs(id, now));
     return waits.length === 0 ? 0 : Math.min(...waits);
   }
 
-  /** Every target of the subset, in any state. */
+  /** All targets whose report was received, in any state. */
   all(): Target[] {
     return [...this.targets.values()];
   }
--- a/src/targets/health.ts
+++ b/src/targets/health.ts
@@ -1,10 +1,9 @@
 /**
- * Passive health of one target, from the answers an entry saw: failures and
- * answers far slower than its peers' eject it for a while; a single probe
- * request lets it back in. Pure over a clock reading.
+ * Passive health check of one target: consecutive failures eject it for a growing
+ * time, after which one probe request decides whether it returns. Takes the time
+ * as an argument.
  */
 
-/** Settings of the ejection. */
 export interface HealthSettings {
   readonly failuresToEject: number;
   readonly firstEjectionMs: number;
@@ -17,7 +16,7 @@
   maxEjectionMs: 30_000,
 };
 
-/** `probing`: one request may try the target. */
+/** `probing`: one request may be sent as a probe. */
 export type HealthState = 'healthy' | 'ejected' | 'probing';
 
 const EJECTION_BACKOFF_FACTOR = 2;
@@ -42,42 +41,46 @@
     return 'probing';
   }
 
-  /** Notes that a request was sent to a target that is being probed. */
+  /** Records that the probe request was sent. */
   noteProbe(): void {
     this.isProbeInFlight = true;
   }
 
-  /** True where this success lets the target back in. */
+  /** Records a success; true if it ends an ejection. */
   noteSuccess(): boolean {
-    const wasOut = this.ejectedUntil !== 0;
+    const wasEjected = this.ejectedUntil !== 0;
     this.failures = 0;
     this.ejectedUntil = 0;
     this.isProbeInFlight = false;
-    if (!wasOut) {
+    if (!wasEjected) {
       this.ejections = Math.max(0, this.ejections - 1);
     }
-    return wasOut;
+    return wasEjected;
   }
 
-  /** True where this failure ejects the target; `allowed` caps the share. */
+  /**
+   * Records a failure; true if it ejects the target. `allowed` is false while too
+   * many targets are ejected.
+   */
   noteFailure(now: number, allowed: boolean): boolean {
     const wasProbe = this.isProbeInFlight;
     this.isProbeInFlight = false;
     this.failures += 1;
-    const isOut = this.ejectedUntil !== 0;
-    const enough = this.failures >= this.settings.failuresToEject;
-    if ((!enough && !wasProbe) || (!isOut && !allowed)) {
+    const isEjected = this.ejectedUntil !== 0;
+    const hasFailedEnough = this.failures >= this.settings.failuresToEject;
+    if ((!hasFailedEnough && !wasProbe) || (!isEjected && !allowed)) {
       return false;
     }
     this.eject(now);
     return true;
   }
 
-  /** Ejects at once, for instance for its step time. */
+  /** Ejects the target at once. */
   eject(now: number): void {
     const {firstEjectionMs, maxEjectionMs} = this.settings;
-    const termMs = firstEjectionMs * EJECTION_BACKOFF_FACTOR ** this.ejections;
-    this.ejectedUntil = now + Math.min(termMs, maxEjectionMs);
+    const durationMs =
+      firstEjectionMs * EJECTION_BACKOFF_FACTOR ** this.ejections;
+    this.ejectedUntil = now + Math.min(durationMs, maxEjectionMs);
     this.ejections += 1;
     this.failures = 0;
   }
--- a/src/targets/limit-coordinator.ts
+++ b/src/targets/limit-coordinator.ts
@@ -1,10 +1,9 @@
 /**
- * Agrees with peers on who may send to targets that have named a limit. For each
- * lifetime of a target one process lends, the first in an order that all work
- * out alike from the peers that they know and that answer. Views may differ: who
- * is asked and knows of one that comes before it names that one and lends
- * nothing, and who lends tells the next in the order once a second. Nothing is
- * called where no target has a limit, nor where there are no peers.
+ * Shares the rate limits of targets among peers. For each lifetime of a target
+ * one process issues permits: the first responsive peer in rendezvous order. A
+ * process that knows an earlier peer grants nothing and names that peer. The
+ * issuer sends a heartbeat to the next ones, since views of the peers may differ.
+ * No calls are made without a limited target or without peers.
  */
 import type {Log} from '../observability/log';
 import type {PeerOrder} from '../peers/peer-order';
@@ -25,28 +24,26 @@
 } from './permit-issuer';
 import type {RateLimit} from './rate-limit';
 
-/** Longest wait for an answer, in milliseconds: a round trip, a lost packet. */
+/** Allows for a round trip and one lost packet. */
 const RPC_TIMEOUT_MS = 400;
 /**
- * Time in which a process that has just started and has met no peer yet lends
- * nothing, in milliseconds: those that it knows of may be in trouble, and the
- * others don't know of it.
+ * A process that has had no contact with its known peers since its start issues
+ * no permits for this long: another process may be issuing them.
  */
 const FIRST_CONTACT_TIMEOUT_MS = 10_000;
-/** Processes that who lends tells of it: those that might lend otherwise. */
+/** Peers next in the order that are notified by the issuer. */
 const SUCCESSORS_NOTIFIED = 2;
-/** And those that it tells in one turn, as it learns of others. */
+/** An announcement ends once it has notified more peers than this. */
 const MAX_PEERS_NOTIFIED = 8;
-/** Peers that are silent and might lend, tried in one turn. */
+/** Silent peers ahead in the order that are tried at a time. */
 const MAX_SILENT_TRIED = 2;
 
-/** What agreeing with peers needs of its process. */
 export interface LimitContext {
   readonly rpc: Pick<RpcClient, 'call'>;
   readonly peers: PeerOrder;
   readonly limits: RateLimitTracker;
   readonly log: Log;
-  /** A peer knew more of a target's limit. */
+  /** Called when a peer reports a newer limit. */
   onChange(lifetime: string, change: LimitChange): void;
 }
 
@@ -60,7 +57,7 @@
   private readonly startedAt = performance.now();
   /** A peer has answered or called. */
   private hasPeerContact = false;
-  /** When a newcomer last called peers. */
+  /** Monotonic time of the last attempt to make first contact. */
   private contactTriedAt = -Infinity;
 
   constructor(private readonly context: LimitContext) {
@@ -77,7 +74,7 @@
     });
   }
 
-  /** This instance was suspended. */
+  /** Call after this instance was suspended: others may issue permits by now. */
   handleResume(): void {
     this.context.limits.dropPermits();
     this.issuer.restart(performance.now());
@@ -89,7 +86,7 @@
     clearTimeout(this.heartbeatTimer);
   }
 
-  /** Answers a peer that wants permits, or tells of a limit. */
+  /** Answers a peer that requests permits or reports a limit. */
   private handleRequest(
     ask: {lifetime: string; word: app.RateLimitMessage; wanted: number},
     now: number,
@@ -97,7 +94,7 @@
     const {lifetime, wanted} = ask;
     const word = fromMessage(ask.word, now);
     const {peers} = this.context;
-    const order = this.order(lifetime, word, now).slice(
+    const order = this.issuerOrder(lifetime, word, now).slice(
       0,
       1 + SUCCESSORS_NOTIFIED,
     );
@@ -105,47 +102,53 @@
       .ranked(lifetime)
       .slice(0, 1 + SUCCESSORS_NOTIFIED)
       .filter(one => peers.isSilent(one));
-    const isOwn = order[0] === peers.own;
-    if (isOwn && (wanted > 0 || this.isIssuing(lifetime))) {
-      const lent = this.grant(lifetime, word, wanted, now);
-      return {...lent, order, silent, word: toMessage(lent.word, now)};
+    const isIssuer = order[0] === peers.own;
+    if (isIssuer && (wanted > 0 || this.isIssuing(lifetime))) {
+      const granted = this.grant(lifetime, word, wanted, now);
+      return {...granted, order, silent, word: toMessage(granted.word, now)};
     }
-    if (!isOwn) {
+    if (!isIssuer) {
       this.stopIssuing(lifetime);
     }
     return {permits: 0, waitMs: 0, order, silent, word: ask.word};
   }
 
-  /** Sets the timer for what is wanted next. */
   private scheduleRequests(): void {
     const now = performance.now();
-    const askAt = this.context.limits.nextRequestAt(now);
-    if (this.isClosed || askAt === undefined || askAt >= this.requestTimerAt) {
+    const requestAt = this.context.limits.nextRequestAt(now);
+    if (
+      this.isClosed ||
+      requestAt === undefined ||
+      requestAt >= this.requestTimerAt
+    ) {
       return;
     }
     clearTimeout(this.requestTimer);
-    this.requestTimerAt = askAt;
-    const turn = () => {
+    this.requestTimerAt = requestAt;
+    const onTimer = () => {
       this.requestTimerAt = Infinity;
-      this.ask();
+      this.sendRequests();
     };
-    this.requestTimer = setTimeout(turn, Math.max(Math.ceil(askAt - now), 0));
+    this.requestTimer = setTimeout(
+      onTimer,
+      Math.max(Math.ceil(requestAt - now), 0),
+    );
     this.requestTimer.unref();
   }
 
-  /** Asks lenders for what is wanted by now. */
-  private ask(): void {
+  /** Requests the permits that are due from their issuers. */
+  private sendRequests(): void {
     const now = performance.now();
-    const wishes = this.context.limits.takePermitRequests(now);
-    const byLender = grouping.groupBy(
-      wishes,
-      ({lifetime, word}) => this.order(lifetime, word, now)[0]!,
+    const requests = this.context.limits.takePermitRequests(now);
+    const byIssuer = grouping.groupBy(
+      requests,
+      ({lifetime, word}) => this.issuerOrder(lifetime, word, now)[0]!,
     );
-    for (const [lender, some] of byLender) {
-      if (lender === this.context.peers.own) {
-        some.forEach(wish => this.requestFromSelf(wish, now));
+    for (const [issuer, batch] of byIssuer) {
+      if (issuer === this.context.peers.own) {
+        batch.forEach(request => this.requestFromSelf(request, now));
       } else {
-        void this.requestFromPeer(lender, some);
+        void this.requestFromPeer(issuer, batch);
       }
     }
     this.scheduleRequests();
@@ -160,21 +163,21 @@
       this.contactPeers(lifetime, word, now);
       limits.noteRequestFailed(lifetime, now);
     } else if (wanted > 0 || this.isIssuing(lifetime)) {
-      const lent = this.grant(lifetime, word, wanted, now);
-      this.updateLimit(lifetime, lent.word);
-      limits.applyGrant(lifetime, lent, now, now);
+      const granted = this.grant(lifetime, word, wanted, now);
+      this.updateLimit(lifetime, granted.word);
+      limits.applyGrant(lifetime, granted, now, now);
     } else {
       limits.noteRequestFailed(lifetime, now);
     }
   }
 
-  /** True while it knows of peers and has not met one yet, for some time. */
+  /** True after the start while peers are known and none was in contact. */
   private isAwaitingFirstContact(now: number): boolean {
-    const isAlone = !this.hasPeerContact && !this.context.peers.book.isEmpty;
-    return isAlone && now - this.startedAt < FIRST_CONTACT_TIMEOUT_MS;
+    const hasNoContact =
+      !this.hasPeerContact && !this.context.peers.book.isEmpty;
+    return hasNoContact && now - this.startedAt < FIRST_CONTACT_TIMEOUT_MS;
   }
 
-  /** Calls those that may lend now. */
   private contactPeers(lifetime: string, word: RateLimit, now: number): void {
     if (now - this.contactTriedAt >= HEARTBEAT_INTERVAL_MS) {
       this.contactTriedAt = now;
@@ -184,29 +187,29 @@
 
   private async requestFromPeer(
     peer: string,
-    wishes: readonly PermitRequest[],
+    requests: readonly PermitRequest[],
   ): Promise<void> {
     const {limits} = this.context;
-    const askedAt = performance.now();
-    const answers = await this.call(peer, wishes);
+    const requestedAt = performance.now();
+    const answers = await this.call(peer, requests);
     const now = performance.now();
-    wishes.forEach(({lifetime}, at) => {
+    requests.forEach(({lifetime}, at) => {
       const answer = answers?.[at];
       if (answer === undefined || answer.order[0] !== peer) {
         limits.noteRequestFailed(lifetime, now);
       } else {
-        this.updateLimit(lifetime, fromMessage(answer.word, askedAt));
-        limits.applyGrant(lifetime, answer, askedAt, now);
+        this.updateLimit(lifetime, fromMessage(answer.word, requestedAt));
+        limits.applyGrant(lifetime, answer, requestedAt, now);
       }
     });
     this.scheduleRequests();
   }
 
-  /** Undefined where the peer does not answer. */
-  private async call(peer: string, wishes: readonly PermitRequest[]) {
+  /** Undefined if the peer does not answer. */
+  private async call(peer: string, requests: readonly PermitRequest[]) {
     const {rpc, peers} = this.context;
     const now = performance.now();
-    const asks = wishes.map(({lifetime, word, wanted}) => ({
+    const asks = requests.map(({lifetime, word, wanted}) => ({
       lifetime,
       word: toMessage(word, now),
       wanted,
@@ -220,7 +223,7 @@
     peers.noteHeard(peer);
     this.hasPeerContact = true;
     for (const {order, silent} of answer.value.answers) {
-      // The peer hears from them; where it is wrong, the next call shows.
+      // The peer counts these as responsive; the next call corrects an error.
       peers.noteHeard(...order);
       peers.book.learn(silent);
     }
@@ -235,10 +238,14 @@
   }
 
   /**
-   * Who lends for a lifetime, the first one first. Silent ones that would come
-   * before are tried beside, so that they come back.
+   * Responsive peers for a lifetime; the first issues its permits. Also calls
+   * silent peers ahead of them, to detect their recovery.
    */
-  private order(lifetime: string, word: RateLimit, now: number): string[] {
+  private issuerOrder(
+    lifetime: string,
+    word: RateLimit,
+    now: number,
+  ): string[] {
     const {peers} = this.context;
     peers
       .takeTrials(lifetime, now)
@@ -258,7 +265,7 @@
     now: number,
   ): PermitGrant {
     const isNew = !this.isIssuing(lifetime);
-    const lent = this.issuer.grant(lifetime, word, wanted, now);
+    const granted = this.issuer.grant(lifetime, word, wanted, now);
     if (isNew) {
       this.context.log.event('limitLent', {
         lifetime,
@@ -268,10 +275,9 @@
       this.announce(lifetime, word, now);
       this.heartbeatTimer ??= this.scheduleHeartbeat();
     }
-    return lent;
+    return granted;
   }
 
-  /** Another process lends for a target. */
   private stopIssuing(lifetime: string): void {
     if (this.isIssuing(lifetime)) {
       this.issuer.stop(lifetime);
@@ -283,34 +289,34 @@
     return setTimeout(() => this.heartbeat(), HEARTBEAT_INTERVAL_MS).unref();
   }
 
-  /** Tells those that might lend otherwise that this process does. */
+  /** Announces this process as the issuer to peers that might issue too. */
   private heartbeat(): void {
     const now = performance.now();
     for (const [lifetime, word] of this.issuer.heartbeat(now)) {
       this.announce(lifetime, word, now);
     }
-    const isLending = !this.isClosed && this.issuer.size > 0;
-    this.heartbeatTimer = isLending ? this.scheduleHeartbeat() : undefined;
+    const hasLimits = !this.isClosed && this.issuer.size > 0;
+    this.heartbeatTimer = hasLimits ? this.scheduleHeartbeat() : undefined;
   }
 
   private announce(lifetime: string, word: RateLimit, now: number): void {
     void this.announceToNext(lifetime, word, now, new Set());
   }
 
-  /** Those that are told name others that may lend, and these are told too. */
+  /** Notifies peers, then repeats for those learned from the answers. */
   private async announceToNext(
     lifetime: string,
     word: RateLimit,
     now: number,
-    told: Set<string>,
+    notified: Set<string>,
   ): Promise<void> {
-    const [first, ...others] = this.order(lifetime, word, now);
+    const [first, ...others] = this.issuerOrder(lifetime, word, now);
     const {own} = this.context.peers;
     if (first !== own) {
       this.stopIssuing(lifetime);
       return;
     }
-    // Silent ones too: those that this process lost as it froze may be lending.
+    // Includes silent peers: they may be issuing if this process was suspended.
     const all = this.context.peers.ranked(lifetime);
     const place = all.indexOf(own);
     const next = new Set([
@@ -318,14 +324,18 @@
       ...all.slice(place + 1, place + 1 + SUCCESSORS_NOTIFIED),
       ...others.slice(0, SUCCESSORS_NOTIFIED),
     ]);
-    told.forEach(peer => next.delete(peer));
-    if (next.size === 0 || told.size > MAX_PEERS_NOTIFIED || this.isClosed) {
+    notified.forEach(peer => next.delete(peer));
+    if (
+      next.size === 0 ||
+      notified.size > MAX_PEERS_NOTIFIED ||
+      this.isClosed
+    ) {
       return;
     }
-    next.forEach(peer => told.add(peer));
-    const wishes = [{lifetime, word, wanted: 0}];
-    await Promise.all([...next].map(peer => this.call(peer, wishes)));
-    await this.announceToNext(lifetime, word, performance.now(), told);
+    next.forEach(peer => notified.add(peer));
+    const requests = [{lifetime, word, wanted: 0}];
+    await Promise.all([...next].map(peer => this.call(peer, requests)));
+    await this.announceToNext(lifetime, word, performance.now(), notified);
   }
 }
 
@@ -337,12 +347,12 @@
 }
 
 /**
- * The end of a limit counts as older than it is told by the longest time that
- * the word may have been under way: a limit that was named since isn't ended.
+ * Ages the end of a limit by the RPC timeout, so that it can't override a limit
+ * that was advertised while the message was in transit.
  */
-function fromMessage(told: app.RateLimitMessage, now: number): RateLimit {
-  const at = now - told.ageMs;
-  return told.perSecond === null
+function fromMessage(message: app.RateLimitMessage, now: number): RateLimit {
+  const at = now - message.ageMs;
+  return message.perSecond === null
     ? {perSecond: undefined, at: at - RPC_TIMEOUT_MS}
-    : {perSecond: told.perSecond, at};
+    : {perSecond: message.perSecond, at};
 }
--- a/src/targets/poller.ts
+++ b/src/targets/poller.ts
@@ -1,6 +1,6 @@
 /**
- * Asks sidecars for their own word, slowly: answers to requests carry the
- * load, so only targets that are new or quiet are asked.
+ * Polls the sidecars of an entry's subset for reports. Responses to requests carry
+ * the load, so only targets that are new, unreachable or idle are polled.
  */
 import type {RpcClient} from '../rpc/client';
 import * as random from '../random';
@@ -8,7 +8,7 @@
 import type {TargetLocation, TargetDirectory} from './directory';
 
 const POLL_INTERVAL_MS = 500;
-/** A target without traffic is asked this often. */
+/** A report is requested once the load is older than this. */
 const MAX_LOAD_AGE_MS = 10_000;
 const MISSES_TO_UNREACHABLE = 2;
 const REPORT_TIMEOUT_MS = 2_000;
@@ -24,16 +24,16 @@
     private readonly rpc: RpcClient,
   ) {}
 
-  /** Looks at once for members that have to be asked. */
+  /** Requests all reports that are due and schedules the next poll. */
   pollNow(): void {
     clearTimeout(this.timer);
     if (this.closed) {
       return;
     }
     const now = Date.now();
-    for (const member of this.targets.subset) {
-      if (this.isDue(member, now)) {
-        void this.requestReport(member);
+    for (const location of this.targets.subset) {
+      if (this.isDue(location, now)) {
+        void this.requestReport(location);
       }
     }
     this.timer = setTimeout(
@@ -47,36 +47,36 @@
     clearTimeout(this.timer);
   }
 
-  private isDue(member: TargetLocation, now: number): boolean {
-    if (this.pending.has(member.id)) {
+  private isDue(location: TargetLocation, now: number): boolean {
+    if (this.pending.has(location.id)) {
       return false;
     }
-    const target = this.targets.reported(member.id);
+    const target = this.targets.reported(location.id);
     return (
       target === undefined ||
-      target.address !== member.address ||
+      target.address !== location.address ||
       target.state === 'unreachable' ||
       now - target.loadAt >= MAX_LOAD_AGE_MS
     );
   }
 
-  private async requestReport(member: TargetLocation): Promise<void> {
-    this.pending.add(member.id);
+  private async requestReport(location: TargetLocation): Promise<void> {
+    this.pending.add(location.id);
     const answer = await this.rpc.call(
-      member.address,
+      location.address,
       app.report,
       {},
       REPORT_TIMEOUT_MS,
     );
-    this.pending.delete(member.id);
+    this.pending.delete(location.id);
     if (answer.ok) {
-      this.misses.delete(member.id);
+      this.misses.delete(location.id);
       this.targets.applyReport(answer.value, Date.now());
       return;
     }
-    const misses = (this.misses.get(member.id) ?? 0) + 1;
-    this.misses.set(member.id, misses);
-    const target = this.targets.reported(member.id);
+    const misses = (this.misses.get(location.id) ?? 0) + 1;
+    this.misses.set(location.id, misses);
+    const target = this.targets.reported(location.id);
     if (misses >= MISSES_TO_UNREACHABLE && target?.state === 'live') {
       target.state = 'unreachable';
     }
--- a/src/targets/probe.ts
+++ b/src/targets/probe.ts
@@ -1,4 +1,4 @@
-/** A sidecar's view of its own target, asked for at short intervals. */
+/** Polls the engine behind a sidecar for the state of its rank. */
 import type * as http from 'node:http';
 import * as v from 'valibot';
 import * as groups from '../groups/types';
@@ -19,7 +19,7 @@
   private misses = 0;
   private timer: NodeJS.Timeout | undefined;
   private closed = false;
-  /** What the engine asked for as it turned a look away. */
+  /** Started by a probe that the engine refused with Retry-After. */
   private readonly cooldown = new Cooldown();
 
   constructor(
@@ -29,12 +29,11 @@
     private readonly onReading: (rank: groups.EngineRank) => void,
   ) {}
 
-  /** The latest reading. */
   get rank(): groups.EngineRank | undefined {
     return this.latest;
   }
 
-  /** False once several readings in a row have failed. */
+  /** False after MISSES_TO_UNREACHABLE consecutive failed probes. */
   get isReachable(): boolean {
     return this.misses < MISSES_TO_UNREACHABLE;
   }
@@ -48,7 +47,7 @@
     clearTimeout(this.timer);
   }
 
-  /** Asks the engine now; one that wants rest tells nothing. */
+  /** Undefined if the engine does not answer or is in a cooldown. */
   async fetchRank(): Promise<groups.EngineRank | undefined> {
     if (this.cooldown.isActive(performance.now())) {
       return undefined;
@@ -87,11 +86,11 @@
   }
 
   private applyRetryAfter(answer: Result<httpClient.Answer, unknown>): void {
-    const rest = answer.ok
+    const asked = answer.ok
       ? retryAfter.readRest(answer.value.status, answer.value.headers)
       : undefined;
-    if (rest?.kind === 'rest') {
-      this.cooldown.start(rest.ms, performance.now());
+    if (asked?.kind === 'rest') {
+      this.cooldown.start(asked.ms, performance.now());
     }
   }
 
--- a/src/targets/rate-limit-tracker.ts
+++ b/src/targets/rate-limit-tracker.ts
@@ -1,60 +1,52 @@
 /**
- * What targets have named as their limits, by lifetime, and the permits that
- * this process has borrowed to send to them. Whoever chooses among targets asks
- * here: one that has named a limit gets a request for a permit and no other,
- * whatever the request and however often it was sent before. Where each process
- * kept the limit by itself, the sum would be as many times the limit as there
- * are processes. Pure over a clock reading.
+ * Rate limits advertised by targets, by lifetime, and the permits granted to this
+ * process. Each request to a limited target uses one permit, retries included, so
+ * that all processes together keep to the limit. Takes the time as an argument.
  */
 import * as bounded from '../bounded';
 import type {LimitNamed} from '../http/server-limit';
-import * as limitWords from './rate-limit';
+import * as rateLimits from './rate-limit';
 import type {RateLimit} from './rate-limit';
 import {PERMIT_TTL_MS} from './permit-issuer';
 
-/**
- * Lifetimes that are kept; the one heard of longest ago goes first. Source: the
- * size that decides has 3,200 targets.
- */
+/** The lifetime that was added first is dropped first. */
 export const MAX_LIMITS = 4_096;
-/** A wish for a permit is given up after so long, in milliseconds. */
+/** Demand that is not renewed expires after this time. */
 const DEMAND_TTL_MS = 1_000;
-/** Permits wanted at once: what a target takes in so many seconds, or one. */
+/** Caps a request for permits to the limit over this time, at least one. */
 const MAX_REQUESTED_S = 0.25;
-/** Time until a call that brought nothing is made again, in milliseconds. */
 const RETRY_DELAY_MS = 100;
 
 interface LimitState {
   limit: RateLimit;
-  /** Monotonic times until which permits hold, the first to end first. */
+  /** Monotonic times at which permits expire, in ascending order. */
   permitExpiries: number[];
   wanted: number;
   wantedAt: number;
-  /** Time from which on to ask for permits. */
+  /** Monotonic time of the next request for permits. */
   requestAt: number;
   isRequesting: boolean;
 }
 
-/** What an answer has changed. */
 export type LimitChange = 'named' | 'changed' | 'ended';
 
-/** What to ask a lender for. */
+/** A request to the issuer of a lifetime's permits. */
 export interface PermitRequest {
   readonly lifetime: string;
   readonly word: RateLimit;
-  /** Permits; 0: only the word is to be told. */
+  /** Number of permits; 0 only reports the limit. */
   readonly wanted: number;
 }
 
 export class RateLimitTracker {
-  /** Called when there is something to ask a lender for. */
+  /** Called when permits are to be requested. */
   onDemand: () => void = () => undefined;
   private readonly states = new Map<string, LimitState>();
 
   /**
-   * Takes what an answer names. One without a limit ends it only where it was
-   * asked for after the limit was last named: answers overtake each other. What
-   * can't be read changes nothing.
+   * Applies the limit in an answer to a request sent at `sentAt`. An answer
+   * without a limit ends it only if sent after the limit was last advertised, as
+   * answers may arrive out of order. Unreadable limits are ignored.
    */
   applyAdvertised(
     lifetime: string,
@@ -72,40 +64,40 @@
     }
   }
 
-  /** Takes what was heard here, or by another process. */
+  /** Applies a limit that this or another process observed. */
   update(lifetime: string, word: RateLimit): LimitChange | undefined {
-    const held = this.states.get(lifetime);
-    const before = held?.limit.perSecond;
-    if (held === undefined) {
+    const state = this.states.get(lifetime);
+    const before = state?.limit.perSecond;
+    if (state === undefined) {
       if (word.perSecond === undefined) {
         return undefined;
       }
       this.add(lifetime, word);
       return 'named';
     }
-    held.limit = limitWords.newer(held.limit, word);
-    const after = held.limit.perSecond;
+    state.limit = rateLimits.newer(state.limit, word);
+    const after = state.limit.perSecond;
     if (after === before) {
       return undefined;
     }
     if (after === undefined) {
-      held.permitExpiries = [];
-      held.requestAt = -Infinity;
+      state.permitExpiries = [];
+      state.requestAt = -Infinity;
       this.onDemand();
       return 'ended';
     }
     return before === undefined ? 'named' : 'changed';
   }
 
-  /** Milliseconds until a lifetime may be sent something; 0: it may now. */
+  /** Milliseconds until a request may be sent; 0 means now. */
   waitMs(lifetime: string, now: number): number {
-    const held = this.states.get(lifetime);
-    return held === undefined || canSend(held, now)
+    const state = this.states.get(lifetime);
+    return state === undefined || canSend(state, now)
       ? 0
-      : Math.max(held.requestAt - now, 1);
+      : Math.max(state.requestAt - now, 1);
   }
 
-  /** Those of some targets that may be sent something. */
+  /** The targets that a request may be sent to now. */
   filterAvailable<T>(
     targets: readonly T[],
     lifetimeOf: (target: T) => string,
@@ -116,38 +108,38 @@
       : targets.filter(target => this.waitMs(lifetimeOf(target), now) === 0);
   }
 
-  /** True where a permit is held that will be lost if it isn't used. */
+  /** True if the target is limited and a permit is state. */
   hasPermit(lifetime: string, now: number): boolean {
-    const held = this.states.get(lifetime);
-    return held !== undefined && isLimited(held) && canSend(held, now);
+    const state = this.states.get(lifetime);
+    return state !== undefined && isLimited(state) && canSend(state, now);
   }
 
-  /** Requests a second that a lifetime takes; undefined: it names no limit. */
+  /** Requests per second; undefined if there is no limit. */
   perSecond(lifetime: string): number | undefined {
     return this.states.get(lifetime)?.limit.perSecond;
   }
 
-  /** Notes that a request goes to a lifetime. */
+  /** Uses up a permit. */
   noteSent(lifetime: string, now: number): void {
-    const held = this.states.get(lifetime);
-    if (held !== undefined) {
-      held.permitExpiries = held.permitExpiries
+    const state = this.states.get(lifetime);
+    if (state !== undefined) {
+      state.permitExpiries = state.permitExpiries
         .filter(until => until > now)
         .slice(1);
     }
   }
 
-  /** A request might go to any of some lifetimes, if there are permits. */
+  /** Adds demand for one permit where a limited lifetime has none. */
   requestPermits(lifetimes: Iterable<string>, now: number): void {
     if (this.states.size === 0) {
       return;
     }
     let isNew = false;
     for (const lifetime of lifetimes) {
-      const held = this.states.get(lifetime);
-      if (held !== undefined && isLimited(held) && !canSend(held, now)) {
-        held.wanted = hasDemand(held, now) ? held.wanted + 1 : 1;
-        held.wantedAt = now;
+      const state = this.states.get(lifetime);
+      if (state !== undefined && isLimited(state) && !canSend(state, now)) {
+        state.wanted = hasDemand(state, now) ? state.wanted + 1 : 1;
+        state.wantedAt = now;
         isNew = true;
       }
     }
@@ -156,77 +148,74 @@
     }
   }
 
-  /** When to ask a lender next; undefined: nothing is wanted. */
+  /** Monotonic time of the next request; undefined without demand. */
   nextRequestAt(now: number): number | undefined {
-    const wanting = [...this.states.values()].filter(one =>
-      isRequestDue(one, now),
-    );
-    return wanting.length === 0
+    const due = [...this.states.values()].filter(one => isRequestDue(one, now));
+    return due.length === 0
       ? undefined
-      : Math.min(...wanting.map(({requestAt: askAt}) => askAt));
+      : Math.min(...due.map(({requestAt}) => requestAt));
   }
 
-  /** What to ask lenders for now; each is then being asked for. */
+  /** The requests that are due now, marked as in progress. */
   takePermitRequests(now: number): PermitRequest[] {
-    const wishes: PermitRequest[] = [];
-    for (const [lifetime, held] of this.states) {
-      if (isRequestDue(held, now) && held.requestAt <= now) {
-        held.isRequesting = true;
-        const {limit: word} = held;
-        const most = Math.max((word.perSecond ?? 0) * MAX_REQUESTED_S, 1);
-        const wanted = isLimited(held) ? Math.min(held.wanted, most) : 0;
-        wishes.push({lifetime, word, wanted: Math.floor(wanted)});
+    const requests: PermitRequest[] = [];
+    for (const [lifetime, state] of this.states) {
+      if (isRequestDue(state, now) && state.requestAt <= now) {
+        state.isRequesting = true;
+        const {limit: word} = state;
+        const maxWanted = Math.max((word.perSecond ?? 0) * MAX_REQUESTED_S, 1);
+        const wanted = isLimited(state) ? Math.min(state.wanted, maxWanted) : 0;
+        requests.push({lifetime, word, wanted: Math.floor(wanted)});
       }
     }
-    return wishes;
+    return requests;
   }
 
-  /** A lender has answered what was asked at `askedAt`. */
+  /** Applies the answer to a request sent at `requestedAt`. */
   applyGrant(
     lifetime: string,
-    lent: {permits: number; waitMs: number},
-    askedAt: number,
+    grant: {permits: number; waitMs: number},
+    requestedAt: number,
     now: number,
   ): void {
-    const held = this.states.get(lifetime);
-    if (held === undefined) {
+    const state = this.states.get(lifetime);
+    if (state === undefined) {
       return;
     }
-    held.isRequesting = false;
-    if (!isLimited(held)) {
-      // The end has been told, so that nothing is left to remember.
+    state.isRequesting = false;
+    if (!isLimited(state)) {
+      // The issuer knows that the limit has ended.
       this.states.delete(lifetime);
       return;
     }
-    const until = askedAt + PERMIT_TTL_MS;
-    held.permitExpiries = held.permitExpiries.filter(at => at > now);
-    for (let at = 0; at < lent.permits; at += 1) {
-      held.permitExpiries.push(until);
+    const until = requestedAt + PERMIT_TTL_MS;
+    state.permitExpiries = state.permitExpiries.filter(at => at > now);
+    for (let at = 0; at < grant.permits; at += 1) {
+      state.permitExpiries.push(until);
     }
-    held.wanted = Math.max(held.wanted - lent.permits, 0);
-    held.requestAt = now + lent.waitMs;
+    state.wanted = Math.max(state.wanted - grant.permits, 0);
+    state.requestAt = now + grant.waitMs;
   }
 
-  /** A call to a lender brought nothing, or the name of another one. */
+  /** The request failed or reached a peer that is not the issuer. */
   noteRequestFailed(lifetime: string, now: number): void {
-    const held = this.states.get(lifetime);
-    if (held === undefined) {
+    const state = this.states.get(lifetime);
+    if (state === undefined) {
       return;
     }
-    held.isRequesting = false;
-    held.requestAt = now + RETRY_DELAY_MS;
-    if (!isLimited(held)) {
-      // Others find out by themselves.
+    state.isRequesting = false;
+    state.requestAt = now + RETRY_DELAY_MS;
+    if (!isLimited(state)) {
+      // Other processes learn the end of the limit from the target.
       this.states.delete(lifetime);
     }
   }
 
-  /** This instance was suspended: permits of before may be others' by now. */
+  /** Call after a suspension: the permits may have been granted to others. */
   dropPermits(): void {
-    this.states.forEach(held => (held.permitExpiries = []));
+    this.states.forEach(state => (state.permitExpiries = []));
   }
 
-  /** A lifetime is over. */
   forget(lifetime: string): void {
     this.states.delete(lifetime);
   }
@@ -235,9 +224,9 @@
     return this.states.size;
   }
 
-  private add(lifetime: string, word: RateLimit): void {
+  private add(lifetime: string, limit: RateLimit): void {
     this.states.set(lifetime, {
-      limit: word,
+      limit,
       permitExpiries: [],
       wanted: 0,
       wantedAt: -Infinity,
@@ -248,19 +237,19 @@
   }
 }
 
-function isLimited(held: LimitState): boolean {
-  return held.limit.perSecond !== undefined;
+function isLimited(state: LimitState): boolean {
+  return state.limit.perSecond !== undefined;
 }
 
-function canSend(held: LimitState, now: number): boolean {
-  return !isLimited(held) || held.permitExpiries.some(until => until > now);
+function canSend(state: LimitState, now: number): boolean {
+  return !isLimited(state) || state.permitExpiries.some(until => until > now);
 }
 
-function hasDemand(held: LimitState, now: number): boolean {
-  return held.wanted > 0 && now - held.wantedAt < DEMAND_TTL_MS;
+function hasDemand(state: LimitState, now: number): boolean {
+  return state.wanted > 0 && now - state.wantedAt < DEMAND_TTL_MS;
 }
 
-/** A lender is to be asked for permits, or told that the limit has ended. */
-function isRequestDue(held: LimitState, now: number): boolean {
-  return !held.isRequesting && (!isLimited(held) || hasDemand(held, now));
+/** True if permits are to be requested or the limit's end reported. */
+function isRequestDue(state: LimitState, now: number): boolean {
+  return !state.isRequesting && (!isLimited(state) || hasDemand(state, now));
 }
--- a/src/targets/rate-limit.ts
+++ b/src/targets/rate-limit.ts
@@ -1,16 +1,14 @@
 /**
- * What a target says of its limit: the requests a second that it takes from all
- * senders together. Each process hears a part of it; the latest word counts,
- * whoever heard it.
+ * The rate limit that a target advertises, for all senders together. The latest
+ * observation counts, whichever process made it.
  */
 export interface RateLimit {
-  /** Requests a second; undefined: it names no limit any more. */
+  /** Requests per second; undefined if the limit has ended. */
   readonly perSecond: number | undefined;
-  /** Monotonic time, in milliseconds, as of which it holds. */
+  /** Monotonic time of the observation, in milliseconds. */
   readonly at: number;
 }
 
-/** The later one of two words. */
 export function newer(
   held: RateLimit | undefined,
   other: RateLimit,
--- a/src/targets/sent-log.ts
+++ b/src/targets/sent-log.ts
@@ -1,6 +1,6 @@
 /**
- * What was sent to a target lately. A load report speaks of the time when it
- * was made, so whatever was sent after that has to be added to it.
+ * Requests recently sent to a target. Those sent after a load report was made are
+ * added to the reported load.
  */
 const RETENTION_MS = 2_000;
 
@@ -9,7 +9,7 @@
   readonly tokens: number;
 }
 
-/** Requests and prompt tokens. */
+/** Number of requests and of their prompt tokens. */
 export interface SentSum {
   readonly requests: number;
   readonly tokens: number;
@@ -18,7 +18,7 @@
 export class SentLog {
   private readonly sent: Sent[] = [];
 
-  /** Notes a request, in order of time. */
+  /** Records a request; calls must be in order of time. */
   note(at: number, tokens: number): void {
     this.sent.push({at, tokens});
     while (this.sent[0]!.at < at - RETENTION_MS) {
@@ -26,7 +26,7 @@
     }
   }
 
-  /** What was sent at or after a time. */
+  /** Totals sent at or after `time`. */
   since(time: number): SentSum {
     let requests = 0;
     let tokens = 0;
--- a/src/targets/types.ts
+++ b/src/targets/types.ts
@@ -1,24 +1,24 @@
-/** A target as others see it: what it serves and how loaded it is. */
+/** The state that a target reports: what it serves and its load. */
 import * as v from 'valibot';
 import {addressSchema} from '../http/address';
 
 const amount = v.pipe(v.number(), v.minValue(0));
 
-/** Load of one target. Times are milliseconds. */
+/** Load of one target. Times are in milliseconds. */
 export const loadSchema = v.object({
-  /** Requests that the target works on. */
+  /** Requests being processed by the target. */
   running: amount,
-  /** Requests that it works on at most. */
+  /** Maximum number of requests processed at a time. */
   capacity: amount,
   /** Requests in the sidecar's queue. */
   queued: amount,
-  /** What a request that came now would wait. */
+  /** Expected queueing time of a new request. */
   waitMs: amount,
-  /** Prompt tokens that the engine has still to read. */
+  /** Prompt tokens still to be prefilled by the engine. */
   prefillTokens: amount,
-  /** Time of the group's latest steps: its slowest rank's. */
+  /** Duration of the group's recent steps, set by its slowest rank. */
   stepMs: amount,
-  /** Time of this rank's own share of a step. */
+  /** Duration of this rank's own part of a step. */
   rankMs: amount,
 });
 export type Load = v.InferOutput<typeof loadSchema>;
@@ -33,7 +33,7 @@
   rankMs: 0,
 };
 
-/** What a target serves: a model's rank, or a plain service. */
+/** What a target serves: a rank of a model, or a service without one. */
 export const servesSchema = v.variant('kind', [
   v.object({
     kind: v.literal('model'),
@@ -48,7 +48,7 @@
 export const targetStateSchema = v.picklist(['live', 'leaving', 'unreachable']);
 export type TargetState = v.InferOutput<typeof targetStateSchema>;
 
-/** A sidecar's own word on its target. */
+/** A sidecar's report on its target. */
 export const targetReportSchema = v.object({
   id: v.string(),
   hall: v.string(),
@@ -59,11 +59,11 @@
 });
 export type TargetReport = v.InferOutput<typeof targetReportSchema>;
 
-/** Header in which every answer of a sidecar carries its load. */
+/** Response header that carries the load of the sidecar's target. */
 export const LOAD_HEADER = 'ferrycleat-load';
 const LOAD_DECIMALS = 1;
 
-/** The load as a form-encoded text. */
+/** Encodes a load as form-encoded text. */
 export function encodeLoad(load: Load): string {
   const fields = Object.entries(load).map(([name, value]) => [
     name,
@@ -72,7 +72,7 @@
   return new URLSearchParams(fields as [string, string][]).toString();
 }
 
-/** Undefined where the text is no load. */
+/** Undefined if the text is not a valid load. */
 export function decodeLoad(text: string): Load | undefined {
   const fields = [...new URLSearchParams(text)].map(([name, value]) => [
     name,
