--- a/src/crashes/crash-coordinator.ts
+++ b/src/crashes/crash-coordinator.ts
@@ -153,7 +153,7 @@
     this.report([...lost.digests].map(digest => ({digest, lifetime})));
   }
 
-  /** Tells those that arbiter. */
+  /** Sends reports to the entries that arbitrate them. */
   private report(reports: readonly app.Report[]): void {
     const {peers} = this.context;
     const now = performance.now();
@@ -185,7 +185,7 @@
     if (answer.ok) {
       peers.noteHeard(arbiter);
     } else if (!this.isClosed) {
-      // The next peer takes over. Split reports can only delay a quarantine.
+      // The next peer in the order arbitrates now.
       peers.noteSilent(arbiter);
       this.report(reports);
     }
--- a/src/crashes/suspect-tracker.test.ts
+++ b/src/crashes/suspect-tracker.test.ts
@@ -1,37 +1,37 @@
 import {SuspectTracker} from './suspect-tracker';
 
-describe('requests that were under way as targets crashed', () => {
-  it('are guilty after three lifetimes, not after three words of one', () => {
-    const book = new SuspectTracker();
+describe('requests in flight when targets crashed', () => {
+  it('are quarantined after crashes of three lifetimes, not three reports of one', () => {
+    const tracker = new SuspectTracker();
     for (let at = 0; at < 5; at += 1) {
-      book.noteCrash('deadly', 'a', at);
+      tracker.noteCrash('deadly', 'a', at);
     }
-    book.noteCrash('deadly', 'b', 10);
-    expect(book.shouldQuarantine('deadly', 10)).toBe(false);
-    book.noteCrash('deadly', 'c', 20);
-    expect(book.shouldQuarantine('deadly', 20)).toBe(true);
+    tracker.noteCrash('deadly', 'b', 10);
+    expect(tracker.shouldQuarantine('deadly', 10)).toBe(false);
+    tracker.noteCrash('deadly', 'c', 20);
+    expect(tracker.shouldQuarantine('deadly', 20)).toBe(true);
   });
 
-  it('are not where they are served as well', () => {
-    const book = new SuspectTracker();
+  it('are not quarantined if they are also served', () => {
+    const tracker = new SuspectTracker();
     for (let at = 0; at < 6; at += 1) {
-      book.noteCrash('popular', `life-${at}`, at);
-      book.noteServed('popular', at);
+      tracker.noteCrash('popular', `life-${at}`, at);
+      tracker.noteServed('popular', at);
     }
-    expect(book.shouldQuarantine('popular', 10)).toBe(false);
-    // Nobody's word counts for one that was never suspected.
-    book.noteServed('other', 10);
-    expect(book.isSuspect('other', 10)).toBe(false);
+    expect(tracker.shouldQuarantine('popular', 10)).toBe(false);
+    // A success of a request without crashes makes it no suspect.
+    tracker.noteServed('other', 10);
+    expect(tracker.isSuspect('other', 10)).toBe(false);
   });
 
-  it('are forgotten, and kept in a bounded number', () => {
-    const book = new SuspectTracker();
+  it('expire and are bounded in number', () => {
+    const tracker = new SuspectTracker();
     for (let at = 0; at < 3_000; at += 1) {
-      book.noteCrash(`d-${at}`, 'a', 0);
+      tracker.noteCrash(`d-${at}`, 'a', 0);
     }
-    expect(book.size).toBe(2_048);
-    expect(book.isEmpty(1)).toBe(false);
-    expect(book.isEmpty(60_001)).toBe(true);
-    expect(book.isSuspect('d-2999', 60_001)).toBe(false);
+    expect(tracker.size).toBe(2_048);
+    expect(tracker.isEmpty(1)).toBe(false);
+    expect(tracker.isEmpty(60_001)).toBe(true);
+    expect(tracker.isSuspect('d-2999', 60_001)).toBe(false);
   });
 });
--- a/src/crashes/suspect-tracker.ts
+++ b/src/crashes/suspect-tracker.ts
@@ -1,8 +1,8 @@
 /**
  * Requests that were in flight when targets crashed (suspected queries of death).
- * Other requests are in flight in a crash too, so a request is quarantined only
- * after crashes of several lifetimes that outnumber its successes. Takes the time
- * as an argument.
+ * Several requests are in flight in a crash, so one is quarantined only once the
+ * lifetimes that crashed with it outnumber its successes by CRASHES_TO_QUARANTINE.
+ * Takes the time as an argument.
  */
 import * as bounded from '../bounded';
 
--- a/src/groups/app.ts
+++ b/src/groups/app.ts
@@ -1,4 +1,4 @@
-/** RPC face of a rank: orders of the group's leader. */
+/** RPC methods of a rank, called by the group's leader. */
 import * as v from 'valibot';
 import * as rpc from '../rpc/types';
 import * as types from './types';
@@ -45,7 +45,7 @@
 
 export const abort = rpc.method('groups.abort', orderSchema, answerSchema);
 
-/** Tokens by layer and expert since the rank's engine started. */
+/** Tokens routed to each expert, by layer, since the rank's engine started. */
 export const counts = rpc.method(
   'groups.counts',
   v.object({}),
@@ -56,7 +56,7 @@
   }),
 );
 
-/** Proposes a map now; for operators and tests. */
+/** Proposes a map; for operators and tests. */
 export const propose = rpc.method(
   'groups.propose',
   v.object({layers: v.array(v.array(v.array(v.number())))}),
--- a/src/groups/engine-client.ts
+++ b/src/groups/engine-client.ts
@@ -1,21 +1,21 @@
-/** A sidecar's orders to its own engine rank. */
+/** Client of a sidecar for its own engine rank. */
 import type * as http from 'node:http';
 import * as httpClient from '../http/client';
 import type {EngineRank, Fence, MapChange} from './types';
 
-/** The engine's interface for maps; each order answers whether it was done. */
+/** The engine's map interface; each order returns whether it was executed. */
 export abstract class EngineClient {
-  /** Undefined where the engine does not answer. */
+  /** Undefined if the engine does not answer. */
   abstract read(): Promise<EngineRank | undefined>;
   /** Loads the moved experts in the background. */
   abstract stage(change: MapChange, fence: Fence): Promise<boolean>;
-  /** Makes the rank stop before the change's step until told. */
+  /** Makes the rank stop before the change's step, until `switchTo` or `release`. */
   abstract hold(change: MapChange, fence: Fence): Promise<boolean>;
-  /** Makes the rank run the new map from the change's step on. */
+  /** Makes the rank use the new map from the change's step on. */
   abstract switchTo(change: MapChange, fence: Fence): Promise<boolean>;
-  /** Lets the rank go on with the map in force. */
+  /** Lets the rank continue with the current map. */
   abstract release(change: MapChange, fence: Fence): Promise<boolean>;
-  /** Gives a rank of a re-formed group its map. */
+  /** Sets the map of a rank in a re-formed group. */
   abstract form(change: MapChange, fence: Fence): Promise<boolean>;
 }
 
@@ -23,7 +23,6 @@
 const STAGE_TIMEOUT_MS = 120_000;
 const MAX_RESPONSE_BYTES = 64 * 1024;
 
-/** Orders over the engine's HTTP face. */
 export class HttpEngineClient extends EngineClient {
   constructor(
     private readonly agent: http.Agent,
@@ -60,7 +59,7 @@
 
   private async post(
     name: string,
-    document: unknown,
+    payload: unknown,
     timeoutMs = ORDER_TIMEOUT_MS,
   ): Promise<boolean> {
     const answer = await httpClient.fetchWhole(
@@ -70,7 +69,7 @@
         method: 'POST',
         path: `/v1/map/${name}`,
         headers: {'content-type': 'application/json'},
-        body: JSON.stringify(document),
+        body: JSON.stringify(payload),
         timeoutMs,
       },
       MAX_RESPONSE_BYTES,
--- a/src/groups/leader.ts
+++ b/src/groups/leader.ts
@@ -1,6 +1,6 @@
 /**
- * Leading a group from one of its ranks' sidecars: planned changes under a
- * lease, taking over a change whose leader went silent, and re-forming.
+ * Leads a group from the sidecar of one of its ranks: starts changes under a lease,
+ * takes over a change whose leader is silent, and gives a re-formed group its map.
  */
 import {randomUUID} from 'node:crypto';
 import {Log} from '../observability/log';
@@ -11,18 +11,16 @@
 import type {RankMember} from './member';
 import * as types from './types';
 
-/** Who leads. */
 export interface LeaderIdentity {
   readonly group: string;
   readonly rank: number;
   readonly holder: string;
 }
 
-/** Times of the take-over. */
 export interface TakeoverSettings {
-  /** Wait after the change's step should have been reached. */
+  /** Delay after the time at which the change's step is expected. */
   readonly delayMs: number;
-  /** Besides, for each lower rank: that one goes first. */
+  /** Added for each lower rank, so that the lowest rank takes over first. */
   readonly perRankDelayMs: number;
 }
 
@@ -41,17 +39,17 @@
     private readonly member: RankMember,
     private readonly store: ObjectApi,
     private readonly log: Log,
-    /** Links to all ranks, in order, this one's own among them. */
+    /** Links to all ranks in order, including this one. */
     private readonly links: () => readonly RankLink[],
-    /** The map to form with; `version`: the one that a rank took already. */
+    /** Map of a re-formed group; `version` is the one that a rank has taken, or null. */
     private readonly baseMap: (version: number | null) => types.ExpertMap,
     private readonly settings = DEFAULT_TAKEOVER_SETTINGS,
   ) {}
 
-  /** Watches readings of the rank for a change or a forming that hangs. */
+  /** Schedules a takeover while the rank is on hold or has no map. */
   noteReading(rank: types.EngineRank): void {
-    const needsHelp = rank.hold !== null || rank.version === null;
-    if (!needsHelp) {
+    const isStalled = rank.hold !== null || rank.version === null;
+    if (!isStalled) {
       clearTimeout(this.takeoverTimer);
       this.takeoverTimer = undefined;
       return;
@@ -63,8 +61,8 @@
   }
 
   /**
-   * Starts a change to the map that `make` builds for the fence's version.
-   * Null where this sidecar can't lead now.
+   * Starts a change to the map that `make` builds for the lease version, which
+   * becomes the map's version. Null if the lease could not be acquired.
    */
   async propose(
     make: (version: number) => types.ExpertMap,
@@ -85,8 +83,8 @@
   private takeoverDelayMs(rank: types.EngineRank): number {
     const stepsLeft = Math.max((rank.hold?.step ?? 0) - rank.step, 0);
     const untilStepMs = stepsLeft * rank.stepMs;
-    const {delayMs: patienceMs, perRankDelayMs: perRankMs} = this.settings;
-    return untilStepMs + patienceMs + perRankMs * this.identity.rank;
+    const {delayMs, perRankDelayMs} = this.settings;
+    return untilStepMs + delayMs + perRankDelayMs * this.identity.rank;
   }
 
   private async takeOver(): Promise<void> {
--- a/src/groups/lease.ts
+++ b/src/groups/lease.ts
@@ -1,19 +1,17 @@
 /**
- * Fences of a group's leaders. To lead, a sidecar writes the group's lease
- * object; the version that the store gives that write is the fence. Nothing
- * is renewed: a leader that has finished simply stops, and the next one
- * writes again.
+ * Fences of a group's leaders. To lead, a sidecar writes the group's lease object;
+ * the version that the store assigns to the write is the fence. Leases do not
+ * expire and are not renewed: the next leader writes the object again.
  */
 import * as v from 'valibot';
 import type {ObjectApi} from '../platform/client';
 import * as types from './types';
 
-/** Key prefix of leases. */
 export const LEASES_PREFIX = 'leases/';
 
 const leaseSchema = v.object({holder: v.string(), nonce: v.string()});
 
-/** Null where the store does not answer or somebody was faster. */
+/** Null if the store does not answer or another sidecar wrote first. */
 export async function acquireFence(
   store: ObjectApi,
   group: string,
@@ -34,7 +32,7 @@
   if (written.error.kind !== 'unavailable' || !written.error.maybeApplied) {
     return null;
   }
-  // The answer was lost: the object itself tells whose write it was.
+  // The answer was lost: the nonce shows whether the write was applied.
   const read = await store.get(key);
   const parsed = v.safeParse(
     leaseSchema,
@@ -46,8 +44,8 @@
 }
 
 /**
- * The fence of a rank that finishes a change without the store: above every
- * fence seen, and no other rank's.
+ * The fence of a rank that finishes a change without the store: higher than
+ * `highest` and unique to the rank.
  */
 export function nextBallot(highest: types.Fence, rank: number): types.Fence {
   return {lease: highest.lease, ballot: highest.ballot + 1, rank};
--- a/src/groups/links.ts
+++ b/src/groups/links.ts
@@ -1,13 +1,12 @@
-/** A leader's links to the ranks of its group. */
+/** The leader's connections to the ranks of its group. */
 import type {RpcClient} from '../rpc/client';
 import * as app from './app';
 import type {OrderAnswer} from './member';
 import type {Fence, MapChange} from './types';
 
-/** Undefined where the rank did not answer: it may have done as told. */
+/** Undefined if the rank did not answer; it may still have executed the order. */
 export type LinkAnswer = OrderAnswer | undefined;
 
-/** One rank as the leader reaches it. */
 export abstract class RankLink {
   abstract query(
     change: MapChange | null,
@@ -26,7 +25,7 @@
 const ORDER_TIMEOUT_MS = 500;
 const STAGE_TIMEOUT_MS = 120_000;
 
-/** A rank behind its sidecar's RPC face. */
+/** Reaches a rank through its sidecar's RPC methods. */
 export class RpcRankLink extends RankLink {
   constructor(
     private readonly rpc: RpcClient,
--- a/src/groups/map-change-coordinator.ts
+++ b/src/groups/map-change-coordinator.ts
@@ -1,19 +1,17 @@
 /**
  * The leader's side of a map change: stage, arm, then commit or abort.
  *
- * Commit is decided only when every rank has armed under this leader's
- * fence. Abort is decided only when that can no longer happen: by the leader
- * itself before it has decided, or by one that took over and found a rank
- * that is not armed and has promised to obey the higher fence. A group in
- * lock-step can't run a step without all its ranks, so to wait for a silent
- * one costs nothing that its silence has not cost already.
+ * Commit is decided only once every rank is armed. Abort is decided only when that
+ * can no longer happen: by the leader itself before its decision, or by a new
+ * leader that found an unarmed rank which has promised to obey its higher fence.
+ * A change blocks while a rank is silent; the group can't run a step without that
+ * rank anyway.
  */
 import {randomUUID} from 'node:crypto';
 import {Log} from '../observability/log';
 import type {LinkAnswer, RankLink} from './links';
 import * as types from './types';
 
-/** How an attempt at a change ended. */
 export type ChangeResult =
   | {readonly kind: 'committed'; readonly change: types.MapChange}
   | {
@@ -21,18 +19,17 @@
       readonly change: types.MapChange | null;
       readonly reason: string;
     }
-  /** Decided, but not every rank has heard; those will ask. */
+  /** Decided, but not acknowledged by all ranks; the others will ask. */
   | {readonly kind: 'spreading'; readonly change: types.MapChange}
   /** Another leader has a higher fence. */
   | {readonly kind: 'superseded'}
   /** A rank that may know the outcome is silent. */
   | {readonly kind: 'blocked'};
 
-/** Settings of a leader. */
 export interface CoordinatorSettings {
-  /** How far ahead of the current step the switch lies. */
+  /** Time from the current step to the switch. */
   readonly leadMs: number;
-  /** Pause between tries to tell the outcome. */
+  /** Pause between attempts to deliver the outcome. */
   readonly retryMs: number;
   readonly maxAttempts: number;
 }
@@ -43,7 +40,7 @@
   maxAttempts: 40,
 };
 
-/** Steps of the lead besides those that its time takes. */
+/** Added to the steps that run in `leadMs`. */
 const EXTRA_STEPS = 4;
 const MIN_STEP_MS = 0.5;
 
@@ -54,7 +51,7 @@
     private readonly settings = DEFAULT_COORDINATOR_SETTINGS,
   ) {}
 
-  /** Changes the group's map. `map` is made from the version in force. */
+  /** Changes the group's map from its current version to `map`. */
   async change(
     fence: types.Fence,
     map: types.ExpertMap,
@@ -89,8 +86,8 @@
   }
 
   /**
-   * Gives a re-formed group one map before its first step: the one that a
-   * rank has taken already, or else the one that `choose` gives.
+   * Gives a re-formed group one map before its first step. `choose` gets the
+   * version that a rank has taken already, or null.
    */
   async form(
     fence: types.Fence,
@@ -117,9 +114,7 @@
     return this.armAndTell(fence, change, ready);
   }
 
-  /**
-   * Finishes a change whose leader is silent, under a fence of its own.
-   */
+  /** Finishes a change whose leader is silent, under a higher fence. */
   async recover(
     fence: types.Fence,
     change: types.MapChange,
@@ -147,7 +142,7 @@
     return {kind: 'blocked'};
   }
 
-  /** The outcome, if any rank knows it; needs no fence. */
+  /** The outcome, if a rank knows it. Raises no fence. */
   async findOutcome(
     change: types.MapChange,
   ): Promise<'committed' | 'aborted' | undefined> {
@@ -207,25 +202,25 @@
     return step + Math.ceil(this.settings.leadMs / stepMs) + EXTRA_STEPS;
   }
 
-  /** Tells the outcome until all have heard, or the tries are used up. */
+  /** Sends the outcome until all ranks acknowledge it or attempts run out. */
   private async broadcastOutcome(
     outcome: 'commit' | 'abort',
     change: types.MapChange,
     fence: types.Fence,
   ): Promise<ChangeResult> {
-    let open = [...this.links];
-    for (let tries = 0; tries < this.settings.maxAttempts; tries += 1) {
+    let pending = [...this.links];
+    for (let attempt = 0; attempt < this.settings.maxAttempts; attempt += 1) {
       const answers = await Promise.all(
-        open.map(link => link[outcome](change, fence)),
+        pending.map(link => link[outcome](change, fence)),
       );
       if (isSuperseded(answers)) {
         return {kind: 'superseded'};
       }
-      open = open.filter((_, at) => answers[at]?.refusal !== null);
-      if (open.length === 0) {
+      pending = pending.filter((_, at) => answers[at]?.refusal !== null);
+      if (pending.length === 0) {
         return this.completedResult(outcome, change);
       }
-      await new Promise(done => setTimeout(done, this.settings.retryMs));
+      await new Promise(resolve => setTimeout(resolve, this.settings.retryMs));
     }
     return {kind: 'spreading', change};
   }
@@ -262,7 +257,7 @@
   }
 }
 
-/** The ranks' answers, where every one of them accepted. */
+/** The ranks' answers; undefined unless all accepted. */
 function allAccepted(
   answers: readonly LinkAnswer[],
 ): types.RankAnswer[] | undefined {
--- a/src/groups/map-change.test.ts
+++ b/src/groups/map-change.test.ts
@@ -1,7 +1,7 @@
 /**
- * The agreement on a map under random interleavings: messages late, lost and
- * doubled, leaders that stop after any message, two leaders at once, and
- * sidecars that restart. The engines of this test check no fences.
+ * Map changes under random interleavings: delayed, lost and duplicated messages,
+ * leaders that stop after any message, concurrent leaders and restarting sidecars.
+ * The engines of this test check no fences.
  */
 import * as fc from 'fast-check';
 import {SILENT_LOG} from '../observability/log';
@@ -86,7 +86,6 @@
   }
 }
 
-/** The engine's interface to a model rank. */
 class ModelEngineClient extends EngineClient {
   constructor(private readonly model: ModelRank) {
     super();
@@ -138,7 +137,7 @@
     this.members[rank] = new RankMember(`life-${this.restarts}`, orders);
   }
 
-  /** The engines of the group die together and come back without a map. */
+  /** Restarts all engines of the group, without a map. */
   reform(): void {
     this.generation += 1;
     for (const rank of this.ranks) {
@@ -164,10 +163,9 @@
   }
 }
 
-/** What happens to each message: drawn by fast-check. */
 type Fate = 'delivered' | 'lost' | 'answer-lost' | 'doubled';
 
-/** A leader's network: it ends after a number of messages. */
+/** A leader's network; messages after the first `diesAfter` get no answer. */
 class ModelNetwork {
   private sent = 0;
 
@@ -215,29 +213,31 @@
   }
 
   query(change: types.MapChange | null, fence: types.Fence | null) {
-    return this.network.send(this.rank, m => m.query(change, fence));
+    return this.network.send(this.rank, member => member.query(change, fence));
   }
 
   stage(change: types.MapChange, fence: types.Fence) {
-    return this.network.send(this.rank, m => m.stage(change, fence));
+    return this.network.send(this.rank, member => member.stage(change, fence));
   }
 
   arm(change: types.MapChange, fence: types.Fence, incarnation: string) {
-    return this.network.send(this.rank, m => m.arm(change, fence, incarnation));
+    return this.network.send(this.rank, member =>
+      member.arm(change, fence, incarnation),
+    );
   }
 
   commit(change: types.MapChange, fence: types.Fence) {
-    return this.network.send(this.rank, m => m.commit(change, fence));
+    return this.network.send(this.rank, member => member.commit(change, fence));
   }
 
   abort(change: types.MapChange, fence: types.Fence) {
-    return this.network.send(this.rank, m => m.abort(change, fence));
+    return this.network.send(this.rank, member => member.abort(change, fence));
   }
 }
 
 const mapOf = (version: number): types.ExpertMap => ({version, layers: []});
 
-/** Runs tasks in the drawn order until nothing more comes. */
+/** Runs tasks in the drawn order until none is left. */
 async function settle(scheduler: fc.Scheduler): Promise<void> {
   const QUIET_ROUNDS = 4;
   let quiet = 0;
@@ -248,7 +248,7 @@
   }
 }
 
-/** The first change that any rank arms for, if one does in time. */
+/** The first change that any rank arms for; undefined after all tries. */
 async function waitForHold(
   group: ModelGroup,
   scheduler: fc.Scheduler,
@@ -264,7 +264,7 @@
   return undefined;
 }
 
-/** A sidecar that takes over while the leader may still be at work. */
+/** Takes over a change while its leader may still be running. */
 async function takeOver(
   group: ModelGroup,
   scheduler: fc.Scheduler,
@@ -273,9 +273,9 @@
 ): Promise<void> {
   const change = await waitForHold(group, scheduler);
   if (change !== undefined) {
-    const net = new ModelNetwork(group, scheduler, fates, Infinity);
+    const network = new ModelNetwork(group, scheduler, fates, Infinity);
     const coordinator = new MapChangeCoordinator(
-      net.links(),
+      network.links(),
       SILENT_LOG,
       SETTINGS,
     );
@@ -284,7 +284,7 @@
   }
 }
 
-/** What the armed ranks' sidecars do when no outcome comes. */
+/** Recovers the change of each armed rank in turn. */
 async function recoverAll(
   group: ModelGroup,
   scheduler: fc.Scheduler,
@@ -294,9 +294,9 @@
     if (change === null) {
       continue;
     }
-    const net = new ModelNetwork(group, scheduler, ['delivered'], Infinity);
+    const network = new ModelNetwork(group, scheduler, ['delivered'], Infinity);
     const coordinator = new MapChangeCoordinator(
-      net.links(),
+      network.links(),
       SILENT_LOG,
       SETTINGS,
     );
@@ -324,17 +324,17 @@
   takeovers: fc.array(fc.nat(RANKS - 1), {maxLength: 3}),
 });
 
-describe('a change of map under random interleavings', () => {
-  it('never lets two ranks run a step on different maps', async () => {
+describe('a map change under random interleavings', () => {
+  it('never runs a step with different maps on two ranks', async () => {
     let committed = 0;
     await fc.assert(
       fc.asyncProperty(fc.scheduler(), scenario, async (scheduler, drawn) => {
         const group = new ModelGroup();
         drawn.fates.slice(0, drawn.leaders).forEach((fates, at) => {
-          const dies = drawn.diesAfter[at]!;
-          const net = new ModelNetwork(group, scheduler, fates, dies);
+          const diesAfter = drawn.diesAfter[at]!;
+          const network = new ModelNetwork(group, scheduler, fates, diesAfter);
           const leader = new MapChangeCoordinator(
-            net.links(),
+            network.links(),
             SILENT_LOG,
             SETTINGS,
           );
@@ -371,20 +371,20 @@
       }),
       {numRuns: RUNS, seed: SEED},
     );
-    // Otherwise the property would hold for a leader that never commits.
+    // Ensures that the property is tested with committed changes.
     expect(committed).toBeGreaterThan(RUNS / 20);
   });
 
-  it('forms a restarted group with one map, whoever leads', async () => {
+  it('forms a restarted group with one map under any leaders', async () => {
     await fc.assert(
       fc.asyncProperty(fc.scheduler(), scenario, async (scheduler, drawn) => {
         const group = new ModelGroup();
         group.reform();
         drawn.fates.forEach((fates, at) => {
-          const dies = drawn.diesAfter[at]!;
-          const net = new ModelNetwork(group, scheduler, fates, dies);
+          const diesAfter = drawn.diesAfter[at]!;
+          const network = new ModelNetwork(group, scheduler, fates, diesAfter);
           const leader = new MapChangeCoordinator(
-            net.links(),
+            network.links(),
             SILENT_LOG,
             SETTINGS,
           );
@@ -402,9 +402,9 @@
         }
         await settle(scheduler);
         group.runStep();
-        const net = new ModelNetwork(group, scheduler, ['delivered'], 1e9);
+        const network = new ModelNetwork(group, scheduler, ['delivered'], 1e9);
         const last = new MapChangeCoordinator(
-          net.links(),
+          network.links(),
           SILENT_LOG,
           SETTINGS,
         );
@@ -431,7 +431,7 @@
       map: mapOf(5),
     };
     const asked = await group.members[2]!.query(null, early);
-    // Another rank takes over, finds this one not armed, and aborts.
+    // Another rank takes over, finds this one unarmed and aborts.
     await group.members[2]!.query(change, later);
     await group.members[2]!.abort(change, later);
     group.restartSidecar(2);
@@ -444,13 +444,9 @@
     expect(group.ranks[2]!.hold).toBeNull();
   });
 
-  // A group that had re-formed stood still for 2.3 s more, in 2 of 52 runs beside
-  // load. Three leaders in turn: the first one's map was taken by its own rank
-  // alone; the second one armed the others for the same map by a change of its
-  // own; the third one, which goes on with the first change, was told 'not-armed'
-  // by such a rank at each of its 40 tries. Evidence: the logs of the processes,
-  // 'superseded' twice, then 'spreading' 2.25 s later.
-  it('goes on with a map that ranks were armed for by another change', async () => {
+  // The first leader's map reaches one rank only, the second leader arms the others
+  // for the same map by its own change, and the third one finishes the first change.
+  it('commits a map for which ranks were armed by another change', async () => {
     const group = new ModelGroup();
     group.reform();
     const links = group.members.map(
@@ -483,7 +479,7 @@
     expect(group.ranks.map(rank => rank.version)).toEqual([5, 5, 5]);
   });
 
-  it('does not take a map for which a rank was armed before it started again', async () => {
+  it('refuses a map for which a rank was armed before the group re-formed', async () => {
     const group = new ModelGroup();
     group.reform();
     const fence = {lease: 5, ballot: 0, rank: 0};
--- a/src/groups/member.ts
+++ b/src/groups/member.ts
@@ -1,19 +1,17 @@
 /**
  * A rank's side of a map change, in its sidecar.
  *
- * What the rank has promised is read from its engine, so a sidecar that
- * restarts knows it still. Only two things are kept in memory: the highest
- * fence seen, and which changes were aborted. A sidecar that has lost them
- * has another incarnation, and an order to arm names the incarnation that it
- * is for; so a late order from before the restart is refused.
+ * Holds and switches are read from the engine, so they survive a restart of the
+ * sidecar. The highest fence, the aborted changes and an armed formation are kept
+ * in memory only. An order to arm names the sidecar's incarnation, so that a late
+ * order from before a restart is refused.
  */
 import type {EngineClient} from './engine-client';
 import * as types from './types';
 
-/** What a rank answers to an order. */
 export interface OrderAnswer {
   readonly refusal: types.OrderRefusal | null;
-  /** Null where the engine does not answer. */
+  /** Null if the engine does not answer. */
   readonly answer: types.RankAnswer | null;
 }
 
@@ -22,7 +20,7 @@
 export class RankMember {
   private fence: types.Fence = types.NO_FENCE;
   private readonly aborted = new Set<string>();
-  /** A re-formed group's map that this rank has promised to take. */
+  /** Change by which this rank has promised to take a re-formed group's map. */
   private armedFormation: types.MapChange | undefined;
   private queue: Promise<unknown> = Promise.resolve();
 
@@ -31,19 +29,19 @@
     private readonly engine: EngineClient,
   ) {}
 
-  /** The highest fence that this rank has promised to obey. */
+  /** Highest fence that this rank has promised to obey. */
   get highestFence(): types.Fence {
     return this.fence;
   }
 
-  /** The change that the rank has armed for, if any. */
+  /** The change that the rank is armed for, if any. */
   async heldChange(): Promise<types.MapChange | null> {
     const rank = await this.engine.read();
-    const form = rank?.version === null ? this.armedFormation : undefined;
-    return rank?.hold?.change ?? form ?? null;
+    const formation = rank?.version === null ? this.armedFormation : undefined;
+    return rank?.hold?.change ?? formation ?? null;
   }
 
-  /** Tells where the rank stands; with a fence, also promises to obey it. */
+  /** Returns the rank's state; with a fence, also promises to obey it. */
   query(
     change: types.MapChange | null,
     fence: types.Fence | null,
@@ -57,8 +55,8 @@
   }
 
   /**
-   * Loads a map; the one in force goes on. Not serialized: it may take
-   * minutes, and orders for another change must not wait for it.
+   * Loads a map while the current one stays in use. Not serialized: it may take
+   * minutes, and other orders must not wait for it.
    */
   async stage(
     change: types.MapChange,
@@ -67,11 +65,11 @@
     if (!this.raiseFence(fence)) {
       return this.refuse('old-fence', change);
     }
-    const done = await this.engine.stage(change, fence);
-    return done ? this.accept(change) : this.refuse('engine-refused', change);
+    const isDone = await this.engine.stage(change, fence);
+    return isDone ? this.accept(change) : this.refuse('engine-refused', change);
   }
 
-  /** Promises not to run the change's step until told the outcome. */
+  /** Promises not to run the change's step before the outcome is known. */
   arm(
     change: types.MapChange,
     fence: types.Fence,
@@ -99,12 +97,12 @@
         this.armedFormation = change;
         return this.accept(change);
       }
-      const done = await this.engine.hold(change, fence);
-      return done ? this.accept(change) : this.refuse('too-late', change);
+      const isDone = await this.engine.hold(change, fence);
+      return isDone ? this.accept(change) : this.refuse('too-late', change);
     });
   }
 
-  /** Takes the new map at the change's step. */
+  /** Uses the new map from the change's step on. */
   commit(change: types.MapChange, fence: types.Fence): Promise<OrderAnswer> {
     return this.serialize(async () => {
       if (!this.raiseFence(fence)) {
@@ -121,15 +119,17 @@
       if (state !== 'armed') {
         return this.refuse('not-armed', change);
       }
-      const done =
+      const isDone =
         rank.version === null
           ? await this.engine.form(change, fence)
           : await this.engine.switchTo(change, fence);
-      return done ? this.accept(change) : this.refuse('engine-refused', change);
+      return isDone
+        ? this.accept(change)
+        : this.refuse('engine-refused', change);
     });
   }
 
-  /** Goes on with the map in force. */
+  /** Continues with the current map. */
   abort(change: types.MapChange, fence: types.Fence): Promise<OrderAnswer> {
     return this.serialize(async () => {
       if (!this.raiseFence(fence)) {
@@ -139,8 +139,10 @@
       if (this.armedFormation?.id === change.id) {
         this.armedFormation = undefined;
       }
-      const done = await this.engine.release(change, fence);
-      return done ? this.accept(change) : this.refuse('engine-refused', change);
+      const isDone = await this.engine.release(change, fence);
+      return isDone
+        ? this.accept(change)
+        : this.refuse('engine-refused', change);
     });
   }
 
@@ -152,9 +154,9 @@
       return 'armed';
     }
     const {version} = change.map;
-    const isSame = rank.generation === change.generation;
+    const isSameGeneration = rank.generation === change.generation;
     if (
-      isSame &&
+      isSameGeneration &&
       (rank.version === version || rank.next?.version === version)
     ) {
       return 'committed';
@@ -166,16 +168,15 @@
   }
 
   /**
-   * A version names one map, so who armed the rank for it doesn't matter. Where
-   * it did, a group that three leaders formed in turn stood still for the 2 s in
-   * which the last one told its outcome in vain, 2 of 52 times beside load.
+   * Compares map versions rather than change ids: another leader may have armed
+   * this rank for the same map, and its commit must not be refused.
    */
   private isArmedToForm(change: types.MapChange): boolean {
-    const form = this.armedFormation;
+    const formation = this.armedFormation;
     return (
-      form !== undefined &&
-      form.generation === change.generation &&
-      form.map.version === change.map.version
+      formation !== undefined &&
+      formation.generation === change.generation &&
+      formation.map.version === change.map.version
     );
   }
 
@@ -215,7 +216,7 @@
       return null;
     }
     if (rank.fence !== null) {
-      // An engine that checks fences remembers for a sidecar that restarted.
+      // Restores the highest fence after a restart of the sidecar.
       this.raiseFence(rank.fence);
     }
     return {
@@ -230,7 +231,7 @@
     };
   }
 
-  /** One order at a time: each reads the engine and then orders it. */
+  /** Runs one order at a time, as each reads the engine's state and acts on it. */
   private serialize<T>(action: () => Promise<T>): Promise<T> {
     const next = this.queue.then(action, action);
     this.queue = next.catch(() => undefined);
--- a/src/groups/rank-service.ts
+++ b/src/groups/rank-service.ts
@@ -1,6 +1,6 @@
 /**
- * What a sidecar runs for its rank: the member's RPC face, the leader's
- * watch, and the group as the planner sees it.
+ * Runs a rank's part in its group, in its sidecar: the RPC methods of the member,
+ * the leader, and the group's view for the placement planner.
  */
 import type {Follower} from '../configuration/follower';
 import {Log} from '../observability/log';
@@ -18,7 +18,6 @@
 import {OrderAnswer, RankMember} from './member';
 import * as types from './types';
 
-/** Which rank this is. */
 export interface RankIdentity {
   readonly id: string;
   readonly group: string;
@@ -29,7 +28,6 @@
 
 const COUNTS_TIMEOUT_MS = 1_000;
 
-/** The leader's link to the rank of its own sidecar. */
 class LocalRankLink extends RankLink {
   constructor(
     private readonly member: RankMember,
@@ -94,25 +92,32 @@
     this.planner = new Planner(this, () => this.placementSettings());
   }
 
-  /** Binds the RPC face. */
   registerHandlers(server: RpcServer): void {
-    server.handle(app.query, p => this.member.query(p.change, p.fence));
-    server.handle(app.stage, p => this.member.stage(p.change, p.fence));
-    server.handle(app.arm, async p => {
-      const answer = await this.member.arm(p.change, p.fence, p.incarnation);
+    server.handle(app.query, params =>
+      this.member.query(params.change, params.fence),
+    );
+    server.handle(app.stage, params =>
+      this.member.stage(params.change, params.fence),
+    );
+    server.handle(app.arm, async params => {
+      const answer = await this.member.arm(
+        params.change,
+        params.fence,
+        params.incarnation,
+      );
       return this.logRefusal('arm', answer);
     });
-    server.handle(app.commit, async p => {
-      const answer = await this.member.commit(p.change, p.fence);
-      this.recordCommittedMap(answer, p.change.map);
+    server.handle(app.commit, async params => {
+      const answer = await this.member.commit(params.change, params.fence);
+      this.recordCommittedMap(answer, params.change.map);
       return this.logRefusal('commit', answer);
     });
-    server.handle(app.abort, async p => {
-      const answer = await this.member.abort(p.change, p.fence);
+    server.handle(app.abort, async params => {
+      const answer = await this.member.abort(params.change, params.fence);
       return this.logRefusal('abort', answer);
     });
-    server.handle(app.propose, async p => {
-      const end = await this.leader.propose(version => ({version, ...p}));
+    server.handle(app.propose, async params => {
+      const end = await this.leader.propose(version => ({version, ...params}));
       return {end: end?.kind ?? 'no-lease'};
     });
     server.handle(app.counts, () => ({
@@ -131,7 +136,7 @@
     this.leader.close();
   }
 
-  /** Takes over a reading of the engine. */
+  /** Records a reading of the engine and its step skew. */
   noteReading(rank: types.EngineRank): void {
     this.latestReading = rank;
     this.leader.noteReading(rank);
@@ -139,26 +144,28 @@
     this.metrics.time('step_skew', '', this.identity.group, skewMs);
   }
 
-  /** The lowest live rank plans, so that usually one does. */
+  /** The lowest live rank plans; more than one may while views differ. */
   isPlanner(): boolean {
-    const [first] = this.mates().filter(mate => mate.state === 'live');
+    const [first] = this.groupSidecars().filter(
+      sidecar => sidecar.state === 'live',
+    );
     return first?.id === this.identity.id && !this.isLeaving();
   }
 
   async readRanks(): Promise<readonly RankReading[] | undefined> {
-    const mates = this.mates();
-    if (mates.length !== this.latestReading?.ranks) {
+    const sidecars = this.groupSidecars();
+    if (sidecars.length !== this.latestReading?.ranks) {
       return undefined;
     }
     const answers = await Promise.all(
-      mates.map(mate =>
-        this.rpc.call(mate.address, app.counts, {}, COUNTS_TIMEOUT_MS),
+      sidecars.map(sidecar =>
+        this.rpc.call(sidecar.address, app.counts, {}, COUNTS_TIMEOUT_MS),
       ),
     );
     const readings = answers.flatMap(answer =>
       answer.ok ? [answer.value] : [],
     );
-    return readings.length === mates.length ? readings : undefined;
+    return readings.length === sidecars.length ? readings : undefined;
   }
 
   currentMap(): types.ExpertMap | undefined {
@@ -178,17 +185,17 @@
   }
 
   private links(): RankLink[] {
-    return this.mates().map(mate =>
-      mate.id === this.identity.id
-        ? new LocalRankLink(this.member, (a, map) =>
-            this.recordCommittedMap(a, map),
+    return this.groupSidecars().map(sidecar =>
+      sidecar.id === this.identity.id
+        ? new LocalRankLink(this.member, (answer, map) =>
+            this.recordCommittedMap(answer, map),
           )
-        : new RpcRankLink(this.rpc, mate.address),
+        : new RpcRankLink(this.rpc, sidecar.address),
     );
   }
 
-  /** The group's sidecars in order of rank, in any state. */
-  private mates(): Instance[] {
+  /** In order of rank, in any state. */
+  private groupSidecars(): Instance[] {
     return this.follower.instances
       .filter(instance => instance.group === this.identity.group)
       .sort((a, b) => a.rank - b.rank);
@@ -196,10 +203,10 @@
 
   private placementSettings() {
     const templates = this.follower.replica.allTemplates();
-    const own = templates.find(
+    const match = templates.find(
       template => template.models[this.identity.model] !== undefined,
     );
-    return own?.placement;
+    return match?.placement;
   }
 
   private mapToForm(version: number | null): types.ExpertMap {
--- a/src/groups/types.ts
+++ b/src/groups/types.ts
@@ -1,12 +1,12 @@
 /**
- * Groups of ranks that run in lock-step on one expert map, and the engine's
- * interface to a rank. See `agreement` for how a map changes.
+ * Types of groups of ranks that run in lock-step on one expert map, and of the
+ * engine's interface to a rank.
  */
 import * as v from 'valibot';
 
 const whole = v.pipe(v.number(), v.integer(), v.minValue(0));
 
-/** By layer, by expert: the ranks that hold it. */
+/** Indexed by layer, then by expert: the ranks that hold the expert. */
 export const expertMapSchema = v.object({
   version: whole,
   layers: v.array(v.array(v.array(whole))),
@@ -14,9 +14,9 @@
 export type ExpertMap = v.InferOutput<typeof expertMapSchema>;
 
 /**
- * Orders who may order: compared part by part. `lease` is the version of the
- * store's lease object; `ballot` and `rank` let the ranks finish a change
- * among themselves while the store is down.
+ * Fencing token of a leader, compared part by part. `lease` is the version of the
+ * stored lease object; `ballot` and `rank` let the ranks finish a change while the
+ * store is unavailable.
  */
 export const fenceSchema = v.object({
   lease: whole,
@@ -27,15 +27,14 @@
 
 export const NO_FENCE: Fence = {lease: 0, ballot: 0, rank: 0};
 
-/** Negative, zero or positive, as `a` is lower than, equal to or above `b`. */
 export function compareFences(a: Fence, b: Fence): number {
   return a.lease - b.lease || a.ballot - b.ballot || a.rank - b.rank;
 }
 
-/** A change from the map in force to another, at one step. */
+/** A change of the current map, taking effect at one step. */
 export const mapChangeSchema = v.object({
   id: v.string(),
-  /** Life of the group in which the change was begun. */
+  /** Generation of the group in which the change was started. */
   generation: whole,
   from: whole,
   step: whole,
@@ -43,10 +42,10 @@
 });
 export type MapChange = v.InferOutput<typeof mapChangeSchema>;
 
-/** A rank's side of a change, as its sidecar answers for it. */
+/** State of a rank and of a change on it, as its sidecar reports it. */
 export const rankAnswerSchema = v.object({
   rank: whole,
-  /** Life of the sidecar that answers. */
+  /** Identifies one run of the sidecar that answers. */
   incarnation: v.string(),
   generation: whole,
   step: whole,
@@ -57,7 +56,7 @@
 });
 export type RankAnswer = v.InferOutput<typeof rankAnswerSchema>;
 
-/** Why a rank did not do as it was told. */
+/** Why a rank refused an order. */
 export type OrderRefusal =
   | 'old-fence'
   | 'other-incarnation'
@@ -68,20 +67,20 @@
   | 'engine-silent'
   | 'engine-refused';
 
-/** What an engine tells of one of its ranks. */
+/** The engine's report on one of its ranks. */
 export const engineRankSchema = v.object({
   rank: whole,
   ranks: whole,
   generation: whole,
-  /** The next step that the rank will run. */
+  /** Next step to be run by the rank. */
   step: whole,
-  /** Map in force; null: the group has re-formed and waits for one. */
+  /** Current map; null if the group has re-formed and has none yet. */
   version: v.nullable(whole),
   staged: v.array(whole),
   hold: v.nullable(v.object({step: whole, change: mapChangeSchema})),
-  /** A switch that has been ordered and not yet been reached. */
+  /** A switch that was ordered and whose step is not reached yet. */
   next: v.nullable(v.object({step: whole, version: whole})),
-  /** Highest fence that the engine has seen; null: it checks none. */
+  /** Highest fence seen by the engine; null if it checks no fences. */
   fence: v.nullable(fenceSchema),
   stepMs: v.number(),
   rankMs: v.number(),
--- a/src/targets/cooldown-tracker.test.ts
+++ b/src/targets/cooldown-tracker.test.ts
@@ -3,104 +3,106 @@
 import {MAX_COOLDOWNS, CooldownTracker} from './cooldown-tracker';
 import {HALF_OPEN_MS, TRIAL_INTERVAL_MS} from './cooldown';
 
-/** Longest that a rest of so many milliseconds lasts. */
+/** Upper bound of a cooldown with its jitter. */
 function maxCooldownMs(ms: number): number {
   return ms * 1.1 + 1;
 }
 
-describe('what targets have asked for', () => {
+describe('cooldowns of targets', () => {
   beforeEach(() => random.seed(7));
 
-  it('holds for the time asked for, fractions included, and not shorter', () => {
-    const book = new CooldownTracker();
-    expect(book.start('a', 0.4, 100)).toBe(true);
-    expect(book.waitMs('a', 100.39)).toBeGreaterThan(0);
-    expect(book.waitMs('a', 100 + maxCooldownMs(0.4))).toBe(0);
-    expect(book.waitMs('b', 100)).toBe(0);
+  it('last at least the requested time, fractions included', () => {
+    const tracker = new CooldownTracker();
+    expect(tracker.start('a', 0.4, 100)).toBe(true);
+    expect(tracker.waitMs('a', 100.39)).toBeGreaterThan(0);
+    expect(tracker.waitMs('a', 100 + maxCooldownMs(0.4))).toBe(0);
+    expect(tracker.waitMs('b', 100)).toBe(0);
   });
 
-  it('is the latest end of all that were asked for', () => {
-    const book = new CooldownTracker();
-    book.start('a', 3_000, 0);
-    expect(book.start('a', 100, 50)).toBe(false);
-    expect(book.waitMs('a', 2_999)).toBeGreaterThan(0);
-    book.start('a', 3_000, 2_000);
-    expect(book.waitMs('a', 4_999)).toBeGreaterThan(0);
+  it('end at the latest of all requested ends', () => {
+    const tracker = new CooldownTracker();
+    tracker.start('a', 3_000, 0);
+    expect(tracker.start('a', 100, 50)).toBe(false);
+    expect(tracker.waitMs('a', 2_999)).toBeGreaterThan(0);
+    tracker.start('a', 3_000, 2_000);
+    expect(tracker.waitMs('a', 4_999)).toBeGreaterThan(0);
   });
 
-  it('is not over for a request that was taken on the way', () => {
-    const book = new CooldownTracker();
-    book.start('a', 3_000, 100);
-    expect(book.noteAccepted('a', 50, 200)).toBe(false);
-    expect(book.noteAccepted('a', 150, 300)).toBe(false);
-    expect(book.isActive('a', 3_099)).toBe(true);
-    // Nor does an answer that was long under way tell how it is after it.
-    expect(book.noteAccepted('a', 150, 3_500)).toBe(false);
-    book.noteSent('a', 3_500);
-    expect(book.waitMs('a', 3_501)).toBeGreaterThan(0);
+  it('do not end by a request accepted before their end', () => {
+    const tracker = new CooldownTracker();
+    tracker.start('a', 3_000, 100);
+    expect(tracker.noteAccepted('a', 50, 200)).toBe(false);
+    expect(tracker.noteAccepted('a', 150, 300)).toBe(false);
+    expect(tracker.isActive('a', 3_099)).toBe(true);
+    // Nor by a late answer to a request that was sent during the cooldown.
+    expect(tracker.noteAccepted('a', 150, 3_500)).toBe(false);
+    tracker.noteSent('a', 3_500);
+    expect(tracker.waitMs('a', 3_501)).toBeGreaterThan(0);
   });
 
-  it('lets one request through at a time until one is taken', () => {
-    const book = new CooldownTracker();
-    book.start('a', 1_000, 0);
+  it('allow one request at a time in the half-open state, until one is accepted', () => {
+    const tracker = new CooldownTracker();
+    tracker.start('a', 1_000, 0);
     const back = maxCooldownMs(1_000);
-    expect(book.waitMs('a', back)).toBe(0);
-    book.noteSent('a', back);
-    expect(book.waitMs('a', back)).toBe(TRIAL_INTERVAL_MS);
-    expect(book.waitMs('a', back + TRIAL_INTERVAL_MS)).toBe(0);
-    book.noteSent('a', back + TRIAL_INTERVAL_MS);
-    expect(book.waitMs('a', back + TRIAL_INTERVAL_MS)).toBe(TRIAL_INTERVAL_MS);
-    expect(book.noteAccepted('a', back, back + TRIAL_INTERVAL_MS + 9)).toBe(
+    expect(tracker.waitMs('a', back)).toBe(0);
+    tracker.noteSent('a', back);
+    expect(tracker.waitMs('a', back)).toBe(TRIAL_INTERVAL_MS);
+    expect(tracker.waitMs('a', back + TRIAL_INTERVAL_MS)).toBe(0);
+    tracker.noteSent('a', back + TRIAL_INTERVAL_MS);
+    expect(tracker.waitMs('a', back + TRIAL_INTERVAL_MS)).toBe(
+      TRIAL_INTERVAL_MS,
+    );
+    expect(tracker.noteAccepted('a', back, back + TRIAL_INTERVAL_MS + 9)).toBe(
       true,
     );
-    expect(book.waitMs('a', back + TRIAL_INTERVAL_MS + 9)).toBe(0);
-    expect(book.size).toBe(0);
+    expect(tracker.waitMs('a', back + TRIAL_INTERVAL_MS + 9)).toBe(0);
+    expect(tracker.size).toBe(0);
   });
 
-  it('uses a target as before once it has been tried for long enough', () => {
-    const book = new CooldownTracker();
-    book.start('a', 1_000, 0);
+  it('leave the half-open state after its maximum time', () => {
+    const tracker = new CooldownTracker();
+    tracker.start('a', 1_000, 0);
     const back = maxCooldownMs(1_000) + HALF_OPEN_MS;
-    book.noteSent('a', back);
-    expect(book.waitMs('a', back)).toBe(0);
+    tracker.noteSent('a', back);
+    expect(tracker.waitMs('a', back)).toBe(0);
   });
 
-  it('begins anew where a target asks again as it is tried', () => {
-    const book = new CooldownTracker();
-    book.start('a', 1_000, 0);
-    book.noteSent('a', 1_200);
-    expect(book.start('a', 500, 1_210)).toBe(true);
-    expect(book.isActive('a', 1_709)).toBe(true);
+  it('restart if the target asks again in the half-open state', () => {
+    const tracker = new CooldownTracker();
+    tracker.start('a', 1_000, 0);
+    tracker.noteSent('a', 1_200);
+    expect(tracker.start('a', 500, 1_210)).toBe(true);
+    expect(tracker.isActive('a', 1_709)).toBe(true);
   });
 
-  it('does not end for all entries at one moment', () => {
+  it('do not end for all entries at the same time', () => {
     const ends = Array.from({length: 20}, () => {
-      const book = new CooldownTracker();
-      book.start('a', 3_000, 0);
-      return book.waitMs('a', 0);
+      const tracker = new CooldownTracker();
+      tracker.start('a', 3_000, 0);
+      return tracker.waitMs('a', 0);
     });
     expect(Math.min(...ends)).toBeGreaterThanOrEqual(3_000);
     expect(Math.max(...ends) - Math.min(...ends)).toBeGreaterThan(100);
   });
 
-  it('says nothing of the next lifetime', () => {
-    const book = new CooldownTracker();
-    book.start('a@1', 3_000, 0);
-    expect(book.waitMs('a@2', 1)).toBe(0);
-    book.forget('a@1');
-    expect(book.waitMs('a@1', 1)).toBe(0);
+  it('do not apply to the next lifetime', () => {
+    const tracker = new CooldownTracker();
+    tracker.start('a@1', 3_000, 0);
+    expect(tracker.waitMs('a@2', 1)).toBe(0);
+    tracker.forget('a@1');
+    expect(tracker.waitMs('a@1', 1)).toBe(0);
   });
 
   it('keeps a bounded number, the newest', () => {
-    const book = new CooldownTracker();
+    const tracker = new CooldownTracker();
     for (let at = 0; at < MAX_COOLDOWNS + 50; at += 1) {
-      book.start(`t${at}`, 60_000, at);
+      tracker.start(`t${at}`, 60_000, at);
     }
-    expect(book.size).toBe(MAX_COOLDOWNS);
-    expect(book.isActive(`t${MAX_COOLDOWNS + 49}`, 5_000)).toBe(true);
+    expect(tracker.size).toBe(MAX_COOLDOWNS);
+    expect(tracker.isActive(`t${MAX_COOLDOWNS + 49}`, 5_000)).toBe(true);
     // Those that are over go first.
-    book.start('late', 60_000, 200_000);
-    expect(book.size).toBe(1);
+    tracker.start('late', 60_000, 200_000);
+    expect(tracker.size).toBe(1);
   });
 
   it('lets nothing through in a rest, whatever comes in which order', () => {
@@ -111,25 +113,25 @@
     });
     fc.assert(
       fc.property(fc.array(step, {maxLength: 60}), steps => {
-        const book = new CooldownTracker();
+        const tracker = new CooldownTracker();
         const until = new Map<string, number>();
         let now = 0;
         for (const {target, kind, ms} of steps) {
           if (kind === 'ask') {
-            book.start(target, ms, now);
+            tracker.start(target, ms, now);
             until.set(target, Math.max(until.get(target) ?? 0, now + ms));
           } else if (kind === 'send') {
-            const awake = book.filterAvailable(
+            const available = tracker.filterAvailable(
               ['a', 'b', 'c'],
               one => one,
               now,
             );
-            awake.forEach(one => {
+            available.forEach(one => {
               expect(now).toBeGreaterThanOrEqual(until.get(one) ?? 0);
-              book.noteSent(one, now);
+              tracker.noteSent(one, now);
             });
           } else if (kind === 'take') {
-            book.noteAccepted(target, Math.max(now - ms, 0), now);
+            tracker.noteAccepted(target, Math.max(now - ms, 0), now);
           } else {
             now += ms;
           }
--- a/src/targets/directory.test.ts
+++ b/src/targets/directory.test.ts
@@ -19,22 +19,17 @@
 );
 
 /**
- * A caller whose entry died went on through another one and was told "the
- * stream is no longer kept, its target is unknown", though the target ran on
- * and kept the stream. Cause: an entry knew the targets alone that are of its
- * subset and have told of themselves. So a caller who came before a target's
- * first report lost its stream for good, and so did most callers where there
- * are more targets than a subset holds. Evidence: the refusal in the scenario
- * "the caller reconnects through another", in 4 of 65 runs beside load.
+ * Guards against a caller losing its stream when it resumes through another entry,
+ * to which the target has not reported or whose subset doesn't include it.
  */
-describe('the targets that an entry knows', () => {
+describe('target directory of an entry', () => {
   function directory(): TargetDirectory {
     const targets = new TargetDirectory('entry-1', () => SUBSET);
     targets.applyInstances(instances);
     return targets;
   }
 
-  it('are found by their id whether or not the entry uses them', () => {
+  it('finds targets by id in and outside the subset', () => {
     const targets = directory();
     expect(targets.subset.length).toBe(SUBSET);
     const found = instances.map(({id}) => targets.find(id)?.address);
@@ -42,9 +37,8 @@
     expect(targets.find('rank-99')).toBeUndefined();
   });
 
-  // An entry is ready once it has a configuration; the list that names the
-  // targets comes on its own, and may come later.
-  it('are waited for by whoever knows that they are there', async () => {
+  // The platform's list may arrive after the entry has become ready.
+  it('waits for a target that is not listed yet', async () => {
     jest.useFakeTimers();
     const targets = new TargetDirectory('entry-1', () => SUBSET);
     const {signal} = new AbortController();
@@ -59,7 +53,7 @@
     jest.useRealTimers();
   });
 
-  it('get no work before they have told of themselves', () => {
+  it('offers no target before its first report', () => {
     expect(directory().forModel('m')).toEqual([]);
   });
 });
--- a/src/targets/directory.ts
+++ b/src/targets/directory.ts
@@ -38,8 +38,8 @@
 const LEAVING_RETENTION_MS = 60_000;
 
 /**
- * The targets that one entry uses, chosen by rendezvous hashing for each model
- * rank or service, so that an added or removed target changes at most one place.
+ * The targets that one entry uses, chosen by rendezvous hashing for each model or
+ * service, so that an added or removed target changes at most one place.
  */
 export function chooseSubset(
   entryId: string,
--- a/src/targets/limit-coordinator.test.ts
+++ b/src/targets/limit-coordinator.test.ts
@@ -1,4 +1,4 @@
-/** Many entries that send to one target, on a network of the test's own. */
+/** Entries that share the limit of one target over a simulated network. */
 import * as random from '../random';
 import type {Log} from '../observability/log';
 import {PeerBook} from '../peers/peer-book';
@@ -12,20 +12,19 @@
 const WINDOW_MS = 4_000;
 const SECOND_MS = 1_000;
 const SETTLE_MS = 3_000;
-/** Who was told is bound so much later. */
+/** An entry is counted from this time after its first request. */
 const LIMIT_GRACE_MS = 500;
-/** Between one look and the next at what entries may send. */
 const STEP_MS = 10;
 
 type Handler = (params: unknown, peer: unknown) => unknown;
 
-/** One entry: it sends whenever it may. */
+/** An entry that sends whenever it may. */
 class SimulatedEntry {
   readonly limits = new RateLimitTracker();
-  /** From when on it is calm; only then it is bound by the limit. */
+  /** Its requests count towards the limit from this monotonic time on. */
   countedFrom = -Infinity;
   isFrozen = false;
-  /** When it first heard of the limit. */
+  /** Monotonic time of its first request, which tells it the limit. */
   firstSentAt = Infinity;
   handler: Handler | undefined;
   readonly book: PeerBook;
@@ -49,16 +48,16 @@
     });
   }
 
-  /** Something happens to it that lasts for so long. */
+  /** Excludes its requests during a fault and SETTLE_MS after it. */
   excludeFor(ms: number): void {
-    const calmFrom = performance.now() + ms + SETTLE_MS;
-    this.countedFrom = Math.max(this.countedFrom, calmFrom);
+    const countedFrom = performance.now() + ms + SETTLE_MS;
+    this.countedFrom = Math.max(this.countedFrom, countedFrom);
   }
 }
 
 class Network {
   readonly entries = new Map<string, SimulatedEntry>();
-  /** Monotonic time until which nothing gets to or from an entry. */
+  /** Monotonic time until which an entry is disconnected. */
   private readonly cutUntil = new Map<string, number>();
   calls = 0;
   lossShare = 0;
@@ -107,7 +106,7 @@
   }
 }
 
-/** When calm entries sent to the target. */
+/** Entries and the times of their counted requests. */
 class Site {
   readonly network = new Network();
   readonly sent: number[] = [];
@@ -160,7 +159,7 @@
 
 function expectLimitHeld(site: Site, from: number): void {
   const counted = site.sent.filter(at => at >= from);
-  const most = Math.max(
+  const maxCount = Math.max(
     0,
     ...counted.map(
       start =>
@@ -168,7 +167,7 @@
     ),
   );
   const allowed = (1.5 * site.perSecond * WINDOW_MS) / SECOND_MS + 5;
-  expect(most).toBeLessThanOrEqual(allowed);
+  expect(maxCount).toBeLessThanOrEqual(allowed);
 }
 
 function usedShare(site: Site, from: number, until: number): number {
@@ -176,7 +175,7 @@
   return (got * SECOND_MS) / (site.perSecond * (until - from));
 }
 
-describe('entries that send to a target with a limit', () => {
+describe('entries that send to a rate-limited target', () => {
   let site: Site;
 
   beforeEach(() => jest.useFakeTimers());
@@ -194,7 +193,7 @@
     [35, 40],
     [100, 3],
   ])(
-    'keep it together, and use it: %d entries, %d a second',
+    'keep the limit together and use it: %d entries, %d per second',
     async (count, perSecond) => {
       random.seed(count);
       site = new Site(count, all => [...all]);
@@ -208,7 +207,7 @@
     },
   );
 
-  it('keep it where each knows a few of the others', async () => {
+  it('keep the limit if each knows only some of the others', async () => {
     random.seed(7);
     site = new Site(35, all => [...all.slice(0, 3), ...random.sample(all, 8)]);
     const startedAt = performance.now();
@@ -218,7 +217,7 @@
     expect(usedShare(site, from, performance.now())).toBeGreaterThan(0.85);
   });
 
-  it('keep it where as many again come that know three of them', async () => {
+  it('keep the limit if their number doubles and new ones know three others', async () => {
     random.seed(8);
     site = new Site(20, all => [...all]);
     const startedAt = performance.now();
@@ -234,13 +233,13 @@
   });
 
   it.each([1_200, 3_000, 9_000])(
-    'keep it where the one that lends is frozen for %d ms',
+    'keep the limit if the issuer is suspended for %d ms',
     async frozenMs => {
       random.seed(frozenMs);
       site = new Site(6, all => [...all]);
       const startedAt = performance.now();
       await site.run(SETTLE_MS + 4_000);
-      // Each in turn, so that the one that lends is among them.
+      // Each in turn, so that the issuer is among them.
       for (const entry of site.all) {
         entry.isFrozen = true;
         entry.excludeFor(frozenMs);
@@ -254,7 +253,7 @@
     },
   );
 
-  it('keep it, and use it, where one can reach none of the others', async () => {
+  it('keep the limit and use it if one is disconnected', async () => {
     random.seed(9);
     site = new Site(6, all => [...all]);
     const startedAt = performance.now();
@@ -268,7 +267,7 @@
     expect(used).toBeGreaterThan(0.6);
   });
 
-  it('keep it where one in ten calls is lost', async () => {
+  it('keep the limit if one in ten calls is lost', async () => {
     random.seed(10);
     site = new Site(12, all => [...all]);
     const startedAt = performance.now();
@@ -280,9 +279,9 @@
     expect(used).toBeGreaterThan(0.5);
   });
 
-  // Whatever happens to some of them, in series that overlap.
+  // Random, overlapping faults.
   it.each(Array.from({length: 50}, (_, seed) => seed))(
-    'keep it whatever comes: seed %d',
+    'keep the limit under random faults: seed %d',
     async seed => {
       random.seed(seed);
       site = new Site(8, all => all.slice(0, 3));
@@ -290,18 +289,18 @@
       const startedAt = performance.now();
       await site.run(SETTLE_MS + 4_000);
       for (let turn = 0; turn < 12; turn += 1) {
-        const troubled = random.pick(site.all);
-        const {address} = troubled;
-        const what = random.below(4);
+        const faulty = random.pick(site.all);
+        const {address} = faulty;
+        const fault = random.below(4);
         const lastsMs = 300 + random.below(6_000);
-        if (what === 0) {
-          troubled.isFrozen = true;
-          troubled.excludeFor(lastsMs);
-          setTimeout(() => (troubled.isFrozen = false), lastsMs);
-        } else if (what === 1) {
+        if (fault === 0) {
+          faulty.isFrozen = true;
+          faulty.excludeFor(lastsMs);
+          setTimeout(() => (faulty.isFrozen = false), lastsMs);
+        } else if (fault === 1) {
           site.network.cut(address, lastsMs);
-        } else if (what === 2) {
-          troubled.exchange.close();
+        } else if (fault === 2) {
+          faulty.exchange.close();
           const seeds = site.all.slice(0, 3).map(one => one.address);
           site.network.add(address, seeds).excludeFor(0);
         } else {
@@ -314,7 +313,7 @@
     },
   );
 
-  it('ask nothing of each other where nothing is limited', async () => {
+  it('make no calls without a limited target', async () => {
     random.seed(11);
     site = new Site(4, all => [...all]);
     site.all.forEach(entry =>
--- a/src/targets/permit-issuer.test.ts
+++ b/src/targets/permit-issuer.test.ts
@@ -4,7 +4,7 @@
 const WINDOW_MS = 4_000;
 const SECOND_MS = 1_000;
 
-/** Beats as a process that runs does. */
+/** Sends heartbeats once per second. */
 function heartbeatUntil(
   lender: PermitIssuer,
   from: number,
@@ -15,65 +15,65 @@
   }
 }
 
-describe('lending what a target takes', () => {
-  const word = (perSecond: number | undefined, at = 0) => ({perSecond, at});
+describe('permit issuer', () => {
+  const limit = (perSecond: number | undefined, at = 0) => ({perSecond, at});
 
-  it('begins after the one before has ended, with nothing gathered', () => {
+  it('starts with an empty bucket after the handover delay', () => {
     const lender = new PermitIssuer();
-    expect(lender.grant('a', word(2), 5, 0).permits).toBe(0);
+    expect(lender.grant('a', limit(2), 5, 0).permits).toBe(0);
     heartbeatUntil(lender, 0, HANDOVER_DELAY_MS);
-    expect(lender.grant('a', word(2), 5, HANDOVER_DELAY_MS).permits).toBe(0);
-    expect(lender.grant('a', word(2), 5, HANDOVER_DELAY_MS + 500).permits).toBe(
-      1,
-    );
-    expect(lender.grant('a', word(2), 5, HANDOVER_DELAY_MS + 600).permits).toBe(
-      0,
-    );
+    expect(lender.grant('a', limit(2), 5, HANDOVER_DELAY_MS).permits).toBe(0);
+    expect(
+      lender.grant('a', limit(2), 5, HANDOVER_DELAY_MS + 500).permits,
+    ).toBe(1);
+    expect(
+      lender.grant('a', limit(2), 5, HANDOVER_DELAY_MS + 600).permits,
+    ).toBe(0);
   });
 
-  it('begins again where it was frozen', () => {
+  it('restarts after a suspension', () => {
     const lender = new PermitIssuer();
-    lender.grant('a', word(2), 0, 0);
+    lender.grant('a', limit(2), 0, 0);
     heartbeatUntil(lender, 0, 4_000);
-    expect(lender.grant('a', word(2), 1, 3_100).permits).toBe(1);
-    expect(lender.grant('a', word(2), 5, 9_000).permits).toBe(0);
+    expect(lender.grant('a', limit(2), 1, 3_100).permits).toBe(1);
+    expect(lender.grant('a', limit(2), 5, 9_000).permits).toBe(0);
     expect(
-      lender.grant('a', word(2), 5, 9_000 + HANDOVER_DELAY_MS).permits,
+      lender.grant('a', limit(2), 5, 9_000 + HANDOVER_DELAY_MS).permits,
     ).toBe(0);
   });
 
-  it('goes by what was heard last, whoever tells it', () => {
+  it('uses the latest observation of the limit, from any process', () => {
     const lender = new PermitIssuer();
-    lender.grant('a', word(2, 10), 0, 100);
-    expect(lender.grant('a', word(1, 50), 0, 200).word).toEqual(word(1, 50));
-    expect(lender.grant('a', word(9, 40), 0, 300).word).toEqual(word(1, 50));
-    const ended = lender.grant('a', word(undefined, 60), 1, 400);
-    expect(ended).toEqual({permits: 0, waitMs: 0, word: word(undefined, 60)});
+    lender.grant('a', limit(2, 10), 0, 100);
+    expect(lender.grant('a', limit(1, 50), 0, 200).word).toEqual(limit(1, 50));
+    expect(lender.grant('a', limit(9, 40), 0, 300).word).toEqual(limit(1, 50));
+    const ended = lender.grant('a', limit(undefined, 60), 1, 400);
+    expect(ended).toEqual({permits: 0, waitMs: 0, word: limit(undefined, 60)});
   });
 
-  it('now and then tries a target that takes nothing', () => {
+  it('grants a minimum rate to a target with a limit of 0', () => {
     const lender = new PermitIssuer();
-    lender.grant('a', word(0), 1, 0);
+    lender.grant('a', limit(0), 1, 0);
     let permits = 0;
     for (let now = 0; now < 60_000; now += 500) {
       lender.heartbeat(now);
-      permits += lender.grant('a', word(0), 1, now).permits;
+      permits += lender.grant('a', limit(0), 1, now).permits;
     }
     expect(permits).toBeGreaterThanOrEqual(2);
     expect(permits).toBeLessThanOrEqual(3);
   });
 
-  it('forgets targets that nobody wants, and holds a bounded number', () => {
+  it('removes idle targets and bounds their number', () => {
     const lender = new PermitIssuer();
     for (let at = 0; at < 5_000; at += 1) {
-      lender.grant(`t-${at}`, word(1), 1, 0);
+      lender.grant(`t-${at}`, limit(1), 1, 0);
     }
     expect(lender.size).toBe(4_096);
     heartbeatUntil(lender, 0, 40_000);
     expect(lender.size).toBe(0);
   });
 
-  it('stays under the limit in any span, whoever asks when', () => {
+  it('stays under the limit in any window, for random requests', () => {
     const asks = fc.array(
       fc.record({
         afterMs: fc.integer({min: 0, max: 400}),
@@ -84,26 +84,26 @@
     const limits = fc.constantFrom(0.1, 0.5, 1, 2, 3, 10, 250);
     const check = (perSecond: number, all: Array<[number, number]>) => {
       const allowed = (1.5 * perSecond * WINDOW_MS) / SECOND_MS + 5;
-      // A permit may be used at any time while it holds.
+      // A permit may be used until it expires.
       const spanMs = WINDOW_MS + PERMIT_TTL_MS;
       for (const [start] of all) {
-        const some = all.filter(([at]) => at >= start && at < start + spanMs);
-        const sum = some.reduce((total, [, permits]) => total + permits, 0);
+        const inSpan = all.filter(([at]) => at >= start && at < start + spanMs);
+        const sum = inSpan.reduce((total, [, permits]) => total + permits, 0);
         expect(sum).toBeLessThanOrEqual(allowed);
       }
     };
     fc.assert(
       fc.property(asks, limits, (some, perSecond) => {
         const lender = new PermitIssuer();
-        const lent: Array<[number, number]> = [];
+        const grants: Array<[number, number]> = [];
         let now = 0;
         for (const {afterMs, wanted} of some) {
           now += afterMs;
           lender.heartbeat(now);
-          const {permits} = lender.grant('a', word(perSecond), wanted, now);
-          lent.push([now, permits]);
+          const {permits} = lender.grant('a', limit(perSecond), wanted, now);
+          grants.push([now, permits]);
         }
-        check(perSecond, lent);
+        check(perSecond, grants);
       }),
       {seed: 36, numRuns: 200},
     );
--- a/src/targets/probe.test.ts
+++ b/src/targets/probe.test.ts
@@ -2,15 +2,15 @@
 import type * as net from 'node:net';
 import {EngineProbe} from './probe';
 
-describe('the looks at an engine that turns them away', () => {
+describe('probes of an engine that refuses them', () => {
   const agent = new http.Agent();
-  let looks = 0;
+  let probes = 0;
   let server: http.Server;
   let probe: EngineProbe;
 
   beforeEach(async () => {
     server = http.createServer((_req, res) => {
-      looks += 1;
+      probes += 1;
       res.writeHead(503, {'Retry-After': '0.9'}).end();
     });
     await new Promise<void>(resolve =>
@@ -29,12 +29,12 @@
     server.closeAllConnections();
   });
 
-  // They come each 250 ms: one that wanted 0.9 s of rest got four in 0.8 s.
-  it('come again once the rest is over that it asked for', async () => {
+  // Guards against probing at the usual interval during a cooldown.
+  it('resume once the requested cooldown is over', async () => {
     probe.start();
     await new Promise(resolve => setTimeout(resolve, 800));
-    expect(looks).toBe(1);
+    expect(probes).toBe(1);
     await new Promise(resolve => setTimeout(resolve, 700));
-    expect(looks).toBe(2);
+    expect(probes).toBe(2);
   });
 });
--- a/src/targets/types.ts
+++ b/src/targets/types.ts
@@ -33,7 +33,7 @@
   rankMs: 0,
 };
 
-/** What a target serves: a rank of a model, or a service without one. */
+/** What a target serves: a rank of a model, or a plain service. */
 export const servesSchema = v.variant('kind', [
   v.object({
     kind: v.literal('model'),
