--- a/src/crashes/quarantine.ts
+++ b/src/crashes/quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * Requests that are refused because they crash targets. Each attempt to send one
- * renews its quarantine. Takes the time as an argument.
+ * Requests that are refused because they crash targets. Each attempt by a caller
+ * to send one renews its quarantine. Takes the time as an argument.
  */
 import * as bounded from '../bounded';
 
--- a/src/groups/leader.ts
+++ b/src/groups/leader.ts
@@ -122,8 +122,8 @@
       await this.member.abort(change, fence);
       return;
     }
-    const own = await this.nextBallot(coordinator);
-    const end = await coordinator.recover(own, change);
+    const ballot = await this.nextBallot(coordinator);
+    const end = await coordinator.recover(ballot, change);
     this.log.event('mapChangeRecovered', {change: change.id, end: end.kind});
   }
 
--- a/src/targets/cooldown-tracker.test.ts
+++ b/src/targets/cooldown-tracker.test.ts
@@ -93,19 +93,19 @@
     expect(tracker.waitMs('a@1', 1)).toBe(0);
   });
 
-  it('keeps a bounded number, the newest', () => {
+  it('are bounded in number, keeping the newest', () => {
     const tracker = new CooldownTracker();
     for (let at = 0; at < MAX_COOLDOWNS + 50; at += 1) {
       tracker.start(`t${at}`, 60_000, at);
     }
     expect(tracker.size).toBe(MAX_COOLDOWNS);
     expect(tracker.isActive(`t${MAX_COOLDOWNS + 49}`, 5_000)).toBe(true);
-    // Those that are over go first.
+    // Cooldowns that have ended are removed first.
     tracker.start('late', 60_000, 200_000);
     expect(tracker.size).toBe(1);
   });
 
-  it('lets nothing through in a rest, whatever comes in which order', () => {
+  it('hold back all requests until their end, in any order of events', () => {
     const step = fc.record({
       target: fc.constantFrom('a', 'b', 'c'),
       kind: fc.constantFrom('ask', 'send', 'take', 'wait'),
--- a/src/targets/directory.ts
+++ b/src/targets/directory.ts
@@ -201,7 +201,7 @@
     );
   }
 
-  /** Milliseconds until the first target is available; 0 if one is. */
+  /** Milliseconds until the first target is available; 0 if one is or none is given. */
   cooldownMs(targets: readonly Target[]): number {
     const now = performance.now();
     const waits = targets.map(({id}) => this.cooldowns.waitMs(id, now));
--- a/src/targets/permit-issuer.test.ts
+++ b/src/targets/permit-issuer.test.ts
@@ -6,12 +6,12 @@
 
 /** Sends heartbeats once per second. */
 function heartbeatUntil(
-  lender: PermitIssuer,
+  issuer: PermitIssuer,
   from: number,
   until: number,
 ): void {
   for (let at = from; at < until; at += SECOND_MS) {
-    lender.heartbeat(at);
+    issuer.heartbeat(at);
   }
 }
 
@@ -19,58 +19,58 @@
   const limit = (perSecond: number | undefined, at = 0) => ({perSecond, at});
 
   it('starts with an empty bucket after the handover delay', () => {
-    const lender = new PermitIssuer();
-    expect(lender.grant('a', limit(2), 5, 0).permits).toBe(0);
-    heartbeatUntil(lender, 0, HANDOVER_DELAY_MS);
-    expect(lender.grant('a', limit(2), 5, HANDOVER_DELAY_MS).permits).toBe(0);
+    const issuer = new PermitIssuer();
+    expect(issuer.grant('a', limit(2), 5, 0).permits).toBe(0);
+    heartbeatUntil(issuer, 0, HANDOVER_DELAY_MS);
+    expect(issuer.grant('a', limit(2), 5, HANDOVER_DELAY_MS).permits).toBe(0);
     expect(
-      lender.grant('a', limit(2), 5, HANDOVER_DELAY_MS + 500).permits,
+      issuer.grant('a', limit(2), 5, HANDOVER_DELAY_MS + 500).permits,
     ).toBe(1);
     expect(
-      lender.grant('a', limit(2), 5, HANDOVER_DELAY_MS + 600).permits,
+      issuer.grant('a', limit(2), 5, HANDOVER_DELAY_MS + 600).permits,
     ).toBe(0);
   });
 
   it('restarts after a suspension', () => {
-    const lender = new PermitIssuer();
-    lender.grant('a', limit(2), 0, 0);
-    heartbeatUntil(lender, 0, 4_000);
-    expect(lender.grant('a', limit(2), 1, 3_100).permits).toBe(1);
-    expect(lender.grant('a', limit(2), 5, 9_000).permits).toBe(0);
+    const issuer = new PermitIssuer();
+    issuer.grant('a', limit(2), 0, 0);
+    heartbeatUntil(issuer, 0, 4_000);
+    expect(issuer.grant('a', limit(2), 1, 3_100).permits).toBe(1);
+    expect(issuer.grant('a', limit(2), 5, 9_000).permits).toBe(0);
     expect(
-      lender.grant('a', limit(2), 5, 9_000 + HANDOVER_DELAY_MS).permits,
+      issuer.grant('a', limit(2), 5, 9_000 + HANDOVER_DELAY_MS).permits,
     ).toBe(0);
   });
 
   it('uses the latest observation of the limit, from any process', () => {
-    const lender = new PermitIssuer();
-    lender.grant('a', limit(2, 10), 0, 100);
-    expect(lender.grant('a', limit(1, 50), 0, 200).word).toEqual(limit(1, 50));
-    expect(lender.grant('a', limit(9, 40), 0, 300).word).toEqual(limit(1, 50));
-    const ended = lender.grant('a', limit(undefined, 60), 1, 400);
+    const issuer = new PermitIssuer();
+    issuer.grant('a', limit(2, 10), 0, 100);
+    expect(issuer.grant('a', limit(1, 50), 0, 200).word).toEqual(limit(1, 50));
+    expect(issuer.grant('a', limit(9, 40), 0, 300).word).toEqual(limit(1, 50));
+    const ended = issuer.grant('a', limit(undefined, 60), 1, 400);
     expect(ended).toEqual({permits: 0, waitMs: 0, word: limit(undefined, 60)});
   });
 
   it('grants a minimum rate to a target with a limit of 0', () => {
-    const lender = new PermitIssuer();
-    lender.grant('a', limit(0), 1, 0);
+    const issuer = new PermitIssuer();
+    issuer.grant('a', limit(0), 1, 0);
     let permits = 0;
     for (let now = 0; now < 60_000; now += 500) {
-      lender.heartbeat(now);
-      permits += lender.grant('a', limit(0), 1, now).permits;
+      issuer.heartbeat(now);
+      permits += issuer.grant('a', limit(0), 1, now).permits;
     }
     expect(permits).toBeGreaterThanOrEqual(2);
     expect(permits).toBeLessThanOrEqual(3);
   });
 
   it('removes idle targets and bounds their number', () => {
-    const lender = new PermitIssuer();
+    const issuer = new PermitIssuer();
     for (let at = 0; at < 5_000; at += 1) {
-      lender.grant(`t-${at}`, limit(1), 1, 0);
+      issuer.grant(`t-${at}`, limit(1), 1, 0);
     }
-    expect(lender.size).toBe(4_096);
-    heartbeatUntil(lender, 0, 40_000);
-    expect(lender.size).toBe(0);
+    expect(issuer.size).toBe(4_096);
+    heartbeatUntil(issuer, 0, 40_000);
+    expect(issuer.size).toBe(0);
   });
 
   it('stays under the limit in any window, for random requests', () => {
@@ -94,13 +94,13 @@
     };
     fc.assert(
       fc.property(asks, limits, (some, perSecond) => {
-        const lender = new PermitIssuer();
+        const issuer = new PermitIssuer();
         const grants: Array<[number, number]> = [];
         let now = 0;
         for (const {afterMs, wanted} of some) {
           now += afterMs;
-          lender.heartbeat(now);
-          const {permits} = lender.grant('a', limit(perSecond), wanted, now);
+          issuer.heartbeat(now);
+          const {permits} = issuer.grant('a', limit(perSecond), wanted, now);
           grants.push([now, permits]);
         }
         check(perSecond, grants);
--- a/src/targets/rate-limit-tracker.ts
+++ b/src/targets/rate-limit-tracker.ts
@@ -108,7 +108,7 @@
       : targets.filter(target => this.waitMs(lifetimeOf(target), now) === 0);
   }
 
-  /** True if the target is limited and a permit is state. */
+  /** True if the target is limited and a permit is held. */
   hasPermit(lifetime: string, now: number): boolean {
     const state = this.states.get(lifetime);
     return state !== undefined && isLimited(state) && canSend(state, now);
