--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -8,24 +8,24 @@
   Demand,
   Plan,
   PlacementPolicy,
-  Situation,
-  Weights,
+  PolicyInput,
+  PlacementWeights,
 } from '../src/placement/types';
 import * as random from '../src/random';
 import * as stats from './stats';
-import type {Bench} from './main';
+import type {Benchmark} from './main';
 
 const LAYERS = 8;
 const EXPERTS = 128;
 const PERIODS = 96;
 /** Periods before any policy has seen enough to act on. */
 const WARM_UP_PERIODS = 8;
-const SAMPLED_STEPS = 20;
+const SAMPLED_STEPS_PER_PERIOD = 20;
 const STEP_TOKENS = 2_048;
 const BASE_STEP_MS = 4.5;
 /** Time of the whole batch's expert work, were it spread evenly. */
-const EXPERT_MS = 3;
-const PERIOD_STEPS = 4_000;
+const EXPERT_WORK_MS = 3;
+const STEPS_PER_PERIOD = 4_000;
 const SLOW_RANK = 1;
 const SLOW_FACTOR = 1.3;
 /** An expert's weights, and the rate at which the store gives them. */
@@ -33,9 +33,9 @@
 const STORE_MEGABYTES_PER_STEP = 2;
 
 /** Demand by period. */
-type Shape = 'disputes' | 'carriers';
+type DemandShape = 'disputes' | 'carriers';
 
-const FLEETS = {
+const FLEET_WEIGHTS = {
   /** Weighs skew more. */
   memberTopUp: {skew: 1, move: 25},
   /** Weighs moves more. */
@@ -47,26 +47,26 @@
   private readonly base: Float64Array[] = [];
   private readonly topics: number[][][] = [];
 
-  constructor(private readonly shape: Shape) {
+  constructor(private readonly shape: DemandShape) {
     for (let layer = 0; layer < LAYERS; layer += 1) {
       this.base.push(
         Float64Array.from({length: EXPERTS}, () => random.exponential(1) + 0.2),
       );
       this.topics.push(
         Array.from({length: 4}, () =>
-          Array.from({length: 6}, () => random.below(EXPERTS)),
+          Array.from({length: 6}, () => random.integerBelow(EXPERTS)),
         ),
       );
     }
   }
 
-  at(period: number): Demand {
+  demandAt(period: number): Demand {
     return this.base.map((base, layer) => {
       const demand = Float64Array.from(base);
       this.topics[layer]!.forEach((experts, topic) => {
-        const heat = this.heat(topic, period);
+        const topicDemand = this.heat(topic, period);
         experts.forEach(expert => {
-          demand[expert] = demand[expert]! + heat;
+          demand[expert] = demand[expert]! + topicDemand;
         });
       });
       return demand;
@@ -101,11 +101,11 @@
 /** Plans, and notes how long the loop was held without a break. */
 async function planTimed(
   policy: PlacementPolicy,
-  situation: Situation,
+  situation: PolicyInput,
   heldMs: number[],
-  weights: Weights,
+  weights: PlacementWeights,
 ): Promise<Plan | null> {
-  if (policy instanceof policies.GainOverCost) {
+  if (policy instanceof policies.GreedyImprovement) {
     return policy.planInSlices(situation, weights, ms => heldMs.push(ms));
   }
   const begunAt = performance.now();
@@ -116,8 +116,8 @@
 
 async function runPolicy(
   policy: PlacementPolicy,
-  weights: Pick<Weights, 'skew' | 'move'>,
-  shape: Shape,
+  weights: Pick<PlacementWeights, 'skew' | 'move'>,
+  shape: DemandShape,
   ranks: number,
   seed: number,
 ): Promise<Outcome> {
@@ -126,7 +126,7 @@
   const slowness = new Array<number>(ranks).fill(1);
   slowness[SLOW_RANK] = SLOW_FACTOR;
   const slotsPerLayer = Math.ceil(EXPERTS / ranks) + 1;
-  let layers = load.firstLayers(LAYERS, EXPERTS, ranks);
+  let layers = load.roundRobinLayers(LAYERS, EXPERTS, ranks);
   const skews: number[] = [];
   const steps: number[] = [];
   const planMs: number[] = [];
@@ -134,9 +134,9 @@
   let changes = 0;
   let seen: Demand | undefined;
   for (let period = 0; period < PERIODS; period += 1) {
-    const demand = drifting.at(period);
+    const demand = drifting.demandAt(period);
     if (seen !== undefined) {
-      const situation: Situation = {
+      const situation: PolicyInput = {
         map: {version: period, layers},
         demand: seen,
         slowness,
@@ -144,7 +144,7 @@
       };
       const plan = await planTimed(policy, situation, planMs, {
         ...weights,
-        horizonSteps: PERIOD_STEPS,
+        horizonSteps: STEPS_PER_PERIOD,
         msPerDemand: msPerDemand(seen, ranks),
       });
       if (plan !== null && plan.moves.length > 0) {
@@ -154,15 +154,19 @@
       }
     }
     const isCounted = period >= WARM_UP_PERIODS;
-    for (let step = 0; isCounted && step < SAMPLED_STEPS; step += 1) {
-      const drawn = sampleStep(demand);
+    for (
+      let step = 0;
+      isCounted && step < SAMPLED_STEPS_PER_PERIOD;
+      step += 1
+    ) {
+      const drawn = sampleSteps(demand);
       const loads = load.rankLoads(layers, drawn, slowness);
       const scale = msPerDemand(drawn, ranks);
       skews.push(load.spread(loads) * scale);
       steps.push(BASE_STEP_MS + Math.max(...loads) * scale);
     }
     // The planner sees what has been, with the noise of its sample.
-    seen = sampleStep(demand, 64);
+    seen = sampleSteps(demand, 64);
   }
   const megabytes = moves * EXPERT_MEGABYTES;
   return {
@@ -182,11 +186,11 @@
     (sum, layer) => sum + layer.reduce((a, b) => a + b, 0),
     0,
   );
-  return (EXPERT_MS * ranks) / total;
+  return (EXPERT_WORK_MS * ranks) / total;
 }
 
 /** The tokens of some steps, drawn by demand with their noise. */
-function sampleStep(demand: Demand, stepCount = 1): Demand {
+function sampleSteps(demand: Demand, stepCount = 1): Demand {
   return demand.map(layer => {
     const total = layer.reduce((a, b) => a + b, 0);
     return Float64Array.from(layer, rate => {
@@ -205,10 +209,22 @@
         policy: PlacementPolicy,
         weights: {skew: number; move: number},
       ) => runPolicy(policy, weights, shape, ranks, seed);
-      const never = await one(new policies.NeverMove(), FLEETS.memberTopUp);
-      const rebuild = await one(new policies.Rebuild(), FLEETS.memberTopUp);
-      const member = await one(new policies.GainOverCost(), FLEETS.memberTopUp);
-      const lommebok = await one(new policies.GainOverCost(), FLEETS.lommebok);
+      const never = await one(
+        new policies.NeverMove(),
+        FLEET_WEIGHTS.memberTopUp,
+      );
+      const rebuild = await one(
+        new policies.Rebuild(),
+        FLEET_WEIGHTS.memberTopUp,
+      );
+      const member = await one(
+        new policies.GreedyImprovement(),
+        FLEET_WEIGHTS.memberTopUp,
+      );
+      const lommebok = await one(
+        new policies.GreedyImprovement(),
+        FLEET_WEIGHTS.lommebok,
+      );
       results.push({
         shape,
         ranks,
@@ -230,8 +246,8 @@
   return results;
 }
 
-export const bench: Bench = {
+export const benchmark: Benchmark = {
   name: 'placement',
-  text: 'expert placement on drifting demand',
+  description: 'expert placement on drifting demand',
   run,
 };
--- a/src/claims/owner-directory.ts
+++ b/src/claims/owner-directory.ts
@@ -144,7 +144,10 @@
       fetched < SIDECARS_PER_FETCH && addresses.length > 0;
       fetched += 1
     ) {
-      const [address] = addresses.splice(random.below(addresses.length), 1);
+      const [address] = addresses.splice(
+        random.integerBelow(addresses.length),
+        1,
+      );
       const answer = await this.rpc.call(address!, rpcMethods.table, {service});
       for (const entry of answer.ok ? answer.value.cells : []) {
         const cellId = `${entry.slot} ${entry.cell.from}`;
--- a/src/claims/slot-manager.test.ts
+++ b/src/claims/slot-manager.test.ts
@@ -160,7 +160,7 @@
       cluster.store.isDown = false;
       return;
     case 'lose':
-      cluster.store.answersToLose = one.answers;
+      cluster.store.responsesToDrop = one.answers;
       return;
     case 'wait':
       await jest.advanceTimersByTimeAsync(one.ms);
--- a/src/commands/operators.ts
+++ b/src/commands/operators.ts
@@ -3,7 +3,7 @@
 import * as os from 'node:os';
 import type {Command} from 'commander';
 import * as v from 'valibot';
-import * as app from '../configuration/app';
+import * as app from '../configuration/rpc-methods';
 import * as edit from '../configuration/edit';
 import * as parse from '../configuration/parse';
 import * as types from '../configuration/types';
@@ -66,17 +66,17 @@
     await withStore(cfg.platform, async store => {
       const read = await edit.readChange(store, keyOf(kind, name));
       if (!read.ok) {
-        return failWith(command, read.error);
+        return failWithError(command, read.error);
       }
       if (read.value === null) {
-        return say(command, EXIT.failed, `no ${kind} ${name}`);
+        return failWithMessage(command, EXIT.failed, `no ${kind} ${name}`);
       }
       const {version, change} = read.value;
       print(
         command.opts()['json']
           ? JSON.stringify({version, ...change})
           : `# version ${version}, by ${change.author} at ${change.at}\n` +
-              parse.printDocument(change.document),
+              parse.formatDocument(change.document),
       );
     });
   });
@@ -93,7 +93,7 @@
     await withStore(cfg.platform, async store => {
       const read = await edit.readHistory(store, keyOf(kind, name));
       if (!read.ok) {
-        return failWith(command, read.error);
+        return failWithError(command, read.error);
       }
       print(
         command.opts()['json']
@@ -118,12 +118,12 @@
       for (const document of documents) {
         const read = await edit.readChange(store, types.keyOf(document));
         if (!read.ok) {
-          return failWith(command, read.error);
+          return failWithError(command, read.error);
         }
         const before = read.value
-          ? parse.printDocument(read.value.change.document)
+          ? parse.formatDocument(read.value.change.document)
           : '';
-        print(diffLines(before, parse.printDocument(document)));
+        print(diffLines(before, parse.formatDocument(document)));
       }
     });
   });
@@ -158,11 +158,11 @@
   const base = cfg.base ?? (await currentVersion(store, key));
   const applied = await edit.applyDocument(store, document, base, cfg.author);
   if (!applied.ok) {
-    failWith(command, applied.error);
+    failWithError(command, applied.error);
     return false;
   }
   const {object, changeId} = applied.value;
-  const told = await pushToSome(store, object);
+  const told = await pushToProcesses(store, object);
   print(
     `accepted ${key} as version ${object.version} (change ${changeId}), ` +
       `told ${told} processes`,
@@ -179,18 +179,21 @@
 }
 
 /** A few processes hear of it at once, also if the store goes down now. */
-async function pushToSome(
+async function pushToProcesses(
   store: HttpObjectApi,
   object: {key: string; version: number; value?: unknown},
 ): Promise<number> {
-  const TOLD = 6;
+  const PUSHED_PROCESSES = 6;
   const list = await store.instances();
   if (!list.ok) {
     return 0;
   }
   const live = list.value.filter(i => i.state === 'live');
   const byHall = new Map(live.map(i => [i.hall, i]));
-  const some = new Set([...byHall.values(), ...live.slice(0, TOLD)]);
+  const some = new Set([
+    ...byHall.values(),
+    ...live.slice(0, PUSHED_PROCESSES),
+  ]);
   const rpc = new RpcClient();
   const item = {...object, value: object.value};
   const answers = await Promise.all(
@@ -228,7 +231,9 @@
     return [{text: `${file}: cannot be read`}];
   }
   const parsed = parse.parseFile(text);
-  const errors = parsed.ok ? parse.checkTogether(parsed.value) : parsed.error;
+  const errors = parsed.ok
+    ? parse.validateAccounts(parsed.value)
+    : parsed.error;
   return errors.map(err => ({
     text:
       `${file}:${err.line}:${err.column}: ` +
@@ -249,15 +254,15 @@
     await withStore(cfg.platform, async store => {
       const list = await store.instances();
       if (!list.ok) {
-        return failWith(command, list.error);
+        return failWithError(command, list.error);
       }
       const rpc = new RpcClient();
-      const rows = await statusView.askAll(rpc, list.value);
+      const rows = await statusView.fetchStatusRows(rpc, list.value);
       rpc.close();
       print(
         command.opts()['json']
           ? JSON.stringify(rows)
-          : statusView.printTable(rows),
+          : statusView.formatTable(rows),
       );
     });
   });
@@ -275,7 +280,7 @@
     await withStore(cfg.platform, async store => {
       const list = await store.instances();
       if (!list.ok) {
-        return failWith(command, list.error);
+        return failWithError(command, list.error);
       }
       const entries = list.value.filter(i => i.role === 'entry');
       const rpc = new RpcClient();
@@ -287,12 +292,16 @@
         answer.ok && answer.value.entry !== null ? [answer.value.entry] : [],
       );
       if (found.length === 0) {
-        return say(command, EXIT.failed, `no entry remembers ${request}`);
+        return failWithMessage(
+          command,
+          EXIT.failed,
+          `no entry remembers ${request}`,
+        );
       }
       print(
         command.opts()['json']
           ? JSON.stringify(found)
-          : found.map(statusView.printJournal).join('\n'),
+          : found.map(statusView.formatJournal).join('\n'),
       );
     });
   });
@@ -331,36 +340,38 @@
   }
 }
 
-function failWith(command: Command, error: edit.EditError): void {
+function failWithError(command: Command, error: edit.EditError): void {
   switch (error.kind) {
     case 'edit-conflict':
-      print(printConflict(error));
+      print(formatConflict(error));
       process.exitCode = EXIT.conflict;
       return;
     case 'unavailable':
     case 'outcome-unknown':
     case 'watch-too-old':
-      return say(command, EXIT.unavailable, JSON.stringify(error));
+      return failWithMessage(command, EXIT.unavailable, JSON.stringify(error));
     case 'conflict':
     case 'value-too-large':
     case 'bad-answer':
     case 'immutable':
     case 'unsound':
-      return say(command, EXIT.failed, JSON.stringify(error));
+      return failWithMessage(command, EXIT.failed, JSON.stringify(error));
   }
 }
 
-function printConflict(
+function formatConflict(
   error: Extract<edit.EditError, {kind: 'edit-conflict'}>,
 ): string {
-  const theirs = error.theirs ? parse.printDocument(error.theirs.document) : '';
+  const theirs = error.theirs
+    ? parse.formatDocument(error.theirs.document)
+    : '';
   const by = error.theirs ? `${error.theirs.author} at ${error.theirs.at}` : '';
   return [
     `conflict: version ${error.theirVersion} by ${by} is in force, not the ` +
       `version ${error.base} that this edit was made from; nothing written`,
     '--- theirs',
     '+++ ours',
-    diffLines(theirs, parse.printDocument(error.ours)),
+    diffLines(theirs, parse.formatDocument(error.ours)),
   ].join('\n');
 }
 
@@ -380,7 +391,11 @@
   process.stdout.write(text + '\n');
 }
 
-function say(_command: Command, exitCode: number, text: string): void {
+function failWithMessage(
+  _command: Command,
+  exitCode: number,
+  text: string,
+): void {
   process.stderr.write(`error: ${text}\n`);
   process.exitCode = exitCode;
 }
--- a/src/crashes/crash-coordinator.ts
+++ b/src/crashes/crash-coordinator.ts
@@ -7,7 +7,7 @@
 import type {Target} from '../forwarding/types';
 import * as grouping from '../grouping';
 import type {Log} from '../observability/log';
-import type {PeerOrder} from '../peers/peer-order';
+import type {PeerRanking} from '../peers/peer-ranking';
 import type {RpcClient} from '../rpc/client';
 import type {RpcServer} from '../rpc/server';
 import * as app from './app';
@@ -26,7 +26,7 @@
 
 export interface CrashContext {
   readonly rpc: RpcClient;
-  readonly peers: PeerOrder;
+  readonly peers: PeerRanking;
   readonly log: Log;
 }
 
@@ -52,12 +52,12 @@
   /** Answers peers on `server`. */
   open(server: RpcServer): void {
     server.handle(app.report, ({from, reports}) => {
-      this.context.peers.noteHeard(from);
+      this.context.peers.markResponsive(from);
       reports.forEach(one => this.handleReport(one));
       return {};
     });
     server.handle(app.convict, ({from, convicted}) => {
-      this.context.peers.noteHeard(from);
+      this.context.peers.markResponsive(from);
       this.applyNotices(convicted);
       return {};
     });
@@ -164,10 +164,10 @@
     }
     const byArbiter = grouping.groupBy(
       reports,
-      ({digest}) => peers.answering(digest)[0]!,
+      ({digest}) => peers.responsive(digest)[0]!,
     );
     for (const [arbiter, batch] of byArbiter) {
-      if (arbiter === peers.own) {
+      if (arbiter === peers.ownAddress) {
         batch.forEach(one => this.handleReport(one));
       } else {
         void this.sendReports(arbiter, batch);
@@ -180,13 +180,13 @@
     reports: readonly app.Report[],
   ): Promise<void> {
     const {rpc, peers} = this.context;
-    const params = {from: peers.own, reports: [...reports]};
+    const params = {from: peers.ownAddress, reports: [...reports]};
     const answer = await rpc.call(arbiter, app.report, params, RPC_TIMEOUT_MS);
     if (answer.ok) {
-      peers.noteHeard(arbiter);
+      peers.markResponsive(arbiter);
     } else if (!this.isClosed) {
       // The next peer in the order arbitrates now.
-      peers.noteSilent(arbiter);
+      peers.markUnresponsive(arbiter);
       this.report(reports);
     }
   }
@@ -210,7 +210,7 @@
   private async notifyPeers(
     convicted: readonly QuarantineNotice[],
   ): Promise<void> {
-    const {book} = this.context.peers;
+    const {directory: book} = this.context.peers;
     await Promise.all(book.known.map(peer => this.notifyPeer(peer, convicted)));
   }
 
@@ -219,7 +219,7 @@
     convicted: readonly QuarantineNotice[],
   ): Promise<void> {
     const {rpc, peers} = this.context;
-    const params = {from: peers.own, convicted: [...convicted]};
+    const params = {from: peers.ownAddress, convicted: [...convicted]};
     for (
       let attempt = 0;
       attempt < MAX_ATTEMPTS && !this.isClosed;
@@ -227,7 +227,7 @@
     ) {
       const answer = await rpc.call(peer, app.convict, params, RPC_TIMEOUT_MS);
       if (answer.ok) {
-        peers.noteHeard(peer);
+        peers.markResponsive(peer);
         return;
       }
     }
--- a/src/experts/map-changer.ts
+++ b/src/experts/map-changer.ts
@@ -5,7 +5,7 @@
 import {Log} from '../observability/log';
 import {Metrics} from '../observability/metrics';
 import * as random from '../random';
-import type {ExpertFigures} from '../routes/types';
+import type {ExpertParameters} from '../routes/types';
 import * as mapChange from './change';
 import type {GroupClient, GroupRanks} from './group-client';
 import {MAX_PASSES_AHEAD, PassClock} from './pass-clock';
@@ -31,7 +31,7 @@
   /** Group name in logs and metrics. */
   readonly group: string;
   /** Undefined until the configuration is known. */
-  figures(): ExpertFigures | undefined;
+  figures(): ExpertParameters | undefined;
   readonly links: GroupClient;
   /** Term of this planner; 0 while this process is not the planner. */
   term(): number;
@@ -100,7 +100,7 @@
 
   /** Runs a change, then logs and measures it. */
   async run(
-    figures: ExpertFigures,
+    figures: ExpertParameters,
     known: MapInForce,
     {version, plan}: NextMap,
   ): Promise<mapChange.ChangeOutcome> {
@@ -134,7 +134,12 @@
       );
       const ms = Math.round(performance.now() - startedAt);
       this.context.metrics.count('map_changes_total', {end});
-      this.context.metrics.time('map_change', this.context.group, 'all', ms);
+      this.context.metrics.recordDuration(
+        'map_change',
+        this.context.group,
+        'all',
+        ms,
+      );
       this.context.log.event('mapChanged', {
         group: this.context.group,
         version,
@@ -194,7 +199,12 @@
     const {armMs} = this.state;
     if (armMs !== undefined) {
       this.armMs = Math.max(armMs, this.armMs * ARM_TIME_DECAY);
-      this.context.metrics.time('arming', this.context.group, 'all', armMs);
+      this.context.metrics.recordDuration(
+        'arming',
+        this.context.group,
+        'all',
+        armMs,
+      );
     }
   }
 }
@@ -214,5 +224,5 @@
 /** A version above `highest` that is unlikely to equal another planner's. */
 export function nextVersion(highest: number): number {
   const multiple = Math.floor(highest / VERSION_STRIDE) + 1;
-  return multiple * VERSION_STRIDE + random.below(VERSION_STRIDE);
+  return multiple * VERSION_STRIDE + random.integerBelow(VERSION_STRIDE);
 }
--- a/src/forwarding/exchange.ts
+++ b/src/forwarding/exchange.ts
@@ -66,7 +66,7 @@
     headers: wire.targetHeaders(send.head, send.metadata),
     body: send.body,
     timeoutMs: timeLeftMs,
-    connectMs: CONNECT_TIMEOUT_MS,
+    connectTimeoutMs: CONNECT_TIMEOUT_MS,
     signal: send.signal,
   });
   if (!response.ok) {
--- a/src/forwarding/group-choice.ts
+++ b/src/forwarding/group-choice.ts
@@ -39,7 +39,7 @@
       : Math.max(capacity.most - capacity.requests, 0),
   );
   let remaining =
-    random.unit() * weights.reduce((sum, weight) => sum + weight, 0);
+    random.uniform() * weights.reduce((sum, weight) => sum + weight, 0);
   return options.find((_, at) => {
     remaining -= weights[at]!;
     return weights[at]! > 0 && remaining < 0;
--- a/src/forwarding/group-request-limit.ts
+++ b/src/forwarding/group-request-limit.ts
@@ -4,7 +4,7 @@
  * together: it lasts as long as the slowest rank's own part plus the part of
  * the rank whose experts are most loaded. Pure.
  */
-import type {EngineFigures} from '../routes/types';
+import type {EngineParameters} from '../routes/types';
 
 /** Properties of a group that determine the duration of its passes. */
 export interface PassFactors {
@@ -30,21 +30,21 @@
 const THOUSAND = 1_000;
 
 /** Milliseconds that one request adds to a pass of its rank. */
-function workMsPerPass(engine: EngineFigures): number {
-  const context = engine.usualPrompt + engine.usualAnswer / 2;
+function workMsPerPass(engine: EngineParameters): number {
+  const context = engine.meanPromptTokens + engine.meanAnswerTokens / 2;
   const step =
     engine.perSequenceMs + (engine.perContextKMs * context) / THOUSAND;
-  const passes = Math.max(engine.usualAnswer / engine.stride, 1);
+  const passes = Math.max(engine.meanAnswerTokens / engine.stride, 1);
   const readMs =
     engine.promptTokensPerSecond > 0
-      ? (engine.usualPrompt / engine.promptTokensPerSecond) * THOUSAND
+      ? (engine.meanPromptTokens / engine.promptTokensPerSecond) * THOUSAND
       : 0;
   return step * engine.stride + readMs / passes;
 }
 
 /** Milliseconds of a pass with `perRank` requests on each rank. */
 export function passMs(
-  engine: EngineFigures,
+  engine: EngineParameters,
   group: PassFactors,
   perRank: number,
 ): number {
@@ -57,7 +57,7 @@
 
 /** Requests that the group may process at once. */
 export function maxRequests(
-  engine: EngineFigures,
+  engine: EngineParameters,
   group: PassFactors,
   pauseMs: number,
 ): number {
--- a/src/forwarding/group-views.ts
+++ b/src/forwarding/group-views.ts
@@ -6,10 +6,10 @@
 import * as rxjs from 'rxjs';
 import * as experts from '../experts/app';
 import type {GroupView} from '../experts/types';
-import type {Reach} from '../peers/reach';
+import type {LastContact} from '../peers/last-contact';
 import * as grouping from '../grouping';
 import * as random from '../random';
-import type {EngineFigures} from '../routes/types';
+import type {EngineParameters} from '../routes/types';
 import type {RpcClient} from '../rpc/client';
 import * as limits from './group-request-limit';
 import type {Target} from './types';
@@ -61,7 +61,7 @@
 
 export interface GroupViewsContext {
   readonly rpc: RpcClient;
-  readonly reach: Reach;
+  readonly reach: LastContact;
   readonly hall: string;
   /** Port on which sidecars listen. */
   readonly rpcPort: number;
@@ -144,7 +144,7 @@
   /** Capacity of a target's group for passes no longer than `pauseMs`. */
   capacityOf(
     target: Target,
-    engine: EngineFigures,
+    engine: EngineParameters,
     pauseMs: number,
     now: number,
   ): GroupCapacity {
@@ -180,7 +180,7 @@
    */
   private estimateCapacity(
     target: Target,
-    engine: EngineFigures,
+    engine: EngineParameters,
     pauseMs: number,
     now: number,
   ): GroupCapacity {
@@ -240,7 +240,7 @@
     if (!response.ok) {
       return false;
     }
-    this.context.reach.note();
+    this.context.reach.recordAnswer();
     const {known, seen} = response.value;
     if (seen !== undefined) {
       const seenAt = performance.now() - seen.ageMs;
--- a/src/forwarding/load-balancer-failing.test.ts
+++ b/src/forwarding/load-balancer-failing.test.ts
@@ -85,7 +85,7 @@
     const {balancer} = random.pick(entries);
     const tried = new Set<Target>();
     while (tried.size < ATTEMPTS) {
-      const group = `g${random.below(GROUPS)}`;
+      const group = `g${random.integerBelow(GROUPS)}`;
       const open = ranks.filter(one => one.group === group && !tried.has(one));
       const target = balancer.choose(open, now)!;
       const at = ranks.indexOf(target);
@@ -135,7 +135,7 @@
       const balancer = random.pick(entries);
       const target = balancer.choose(targets, now)!;
       balancer.begin(target.lifetime);
-      balancer.end(target, random.unit() < 0.14 ? 1 : 0, now);
+      balancer.end(target, random.uniform() < 0.14 ? 1 : 0, now);
       received[targets.findIndex(one => one.id === target.id)]! += 1;
     }
     const even = sent / targets.length;
--- a/src/forwarding/load-balancer.ts
+++ b/src/forwarding/load-balancer.ts
@@ -110,7 +110,8 @@
     const freePermitted = permitted.filter(target => this.hasRoom(target));
     for (const target of [...freePermitted, ...this.candidatesOf(free, now)]) {
       const bonus = permitted.includes(target) ? PERMIT_BONUS : 0;
-      const score = this.score(target, now) - bonus + random.unit() * TIE_BREAK;
+      const score =
+        this.score(target, now) - bonus + random.uniform() * TIE_BREAK;
       if (score < bestScore) {
         best = target;
         bestScore = score;
--- a/src/forwarding/relay.ts
+++ b/src/forwarding/relay.ts
@@ -86,7 +86,7 @@
       },
     });
     if (outcomes.hasResponded(outcome)) {
-      this.context.reach.note();
+      this.context.reach.recordAnswer();
     }
     this.observer.noteOutcome(target, outcome, responseHead, sentAt);
     call.noteOutcome(outcomes.mayHaveRun(outcome));
--- a/src/forwarding/target-list.ts
+++ b/src/forwarding/target-list.ts
@@ -10,7 +10,7 @@
  */
 import * as bounded from '../bounded';
 import * as grouping from '../grouping';
-import type {LimitNamed} from '../http/server-limit';
+import type {RateLimitHeader} from '../http/server-limit';
 import {RateLimitTracker, LimitChange} from '../targets/rate-limit-tracker';
 import * as revisions from '../platform/revisions';
 import {CooldownTracker} from '../targets/cooldown-tracker';
@@ -185,7 +185,7 @@
   /** Applies the rate limit stated in a response; undefined: no change. */
   noteRateLimit(
     target: Target,
-    named: LimitNamed,
+    named: RateLimitHeader,
     sentAt: number,
     now: number,
   ): LimitChange | undefined {
--- a/src/forwarding/types.ts
+++ b/src/forwarding/types.ts
@@ -1,7 +1,7 @@
 /** Types of request forwarding, independent of the protocol's header names. */
 import type * as http from 'node:http';
-import type {RestAsked} from '../http/retry-after';
-import type {LimitNamed} from '../http/server-limit';
+import type {RetryAfterHeader} from '../http/retry-after';
+import type {RateLimitHeader} from '../http/server-limit';
 import type {StoreRevision} from '../platform/revisions';
 import type {Route} from '../routes/types';
 
@@ -79,11 +79,11 @@
   /** The body has a content encoding. */
   readonly isEncoded: boolean;
   /** The pause that the target asks for. */
-  readonly retryAfter: RestAsked;
+  readonly retryAfter: RetryAfterHeader;
   /** The target says that it is shutting down. */
   readonly isLeaving: boolean;
   /** The target's rate limit; undefined: the response is another target's. */
-  readonly rateLimit: LimitNamed | undefined;
+  readonly rateLimit: RateLimitHeader | undefined;
   /** Neither length nor chunks: the body ends with the connection. */
   readonly isUnframed: boolean;
   /** Headers to pass on to the caller, alternating names and values. */
--- a/src/groups/engine-client.ts
+++ b/src/groups/engine-client.ts
@@ -62,7 +62,7 @@
     payload: unknown,
     timeoutMs = ORDER_TIMEOUT_MS,
   ): Promise<boolean> {
-    const answer = await httpClient.fetchWhole(
+    const answer = await httpClient.fetchBuffered(
       this.agent,
       {
         address: this.address,
--- a/src/requests/entry-chat.ts
+++ b/src/requests/entry-chat.ts
@@ -163,7 +163,12 @@
     await eventStream.writeErrorEvent(caller.res, error.ok ? error.value : {});
   }
   const totalMs = Date.now() - caller.startedAt;
-  context.metrics.time('whole', caller.account.id, 'assistant', totalMs);
+  context.metrics.recordDuration(
+    'whole',
+    caller.account.id,
+    'assistant',
+    totalMs,
+  );
   context.metrics.count('answers_total', {kind: 'stream', end: end.kind});
   caller.res.end();
 }
@@ -236,7 +241,7 @@
     const now = Date.now();
     const isFirst = this.lastAt === 0;
     const previousAt = isFirst ? this.caller.startedAt : this.lastAt;
-    this.context.metrics.time(
+    this.context.metrics.recordDuration(
       isFirst ? 'first_token' : 'between_tokens',
       this.caller.account.id,
       'assistant',
--- a/src/requests/entry-handler.ts
+++ b/src/requests/entry-handler.ts
@@ -133,7 +133,7 @@
       return fail(refusals.notRun('unauthorized', 'no bearer token'));
     }
     const digest = headers.sha256Hex(match[1]!);
-    const account = this.context.follower.replica.accountOfDigest(digest);
+    const account = this.context.follower.replica.accountByKeyDigest(digest);
     const held = account?.keyDigests.some(own =>
       headers.equalDigests(own, digest),
     );
@@ -305,7 +305,7 @@
     refusal: refusals.Refusal,
   ): void {
     this.context.log.event('badInput', {request: id, kind: refusal.kind});
-    this.context.metrics.refused('', refusal.kind);
+    this.context.metrics.countRefusal('', refusal.kind);
     // The body may be unread, so the connection cannot be reused.
     res.setHeader('connection', 'close');
     refusals.sendRefusal(
--- a/src/requests/sidecar-chat.ts
+++ b/src/requests/sidecar-chat.ts
@@ -66,7 +66,10 @@
       responses.refuse(this.context, incoming, ticket.error);
       return;
     }
-    this.context.metrics.queued(incoming.account, ticket.value.waitedMs);
+    this.context.metrics.recordQueueTime(
+      incoming.account,
+      ticket.value.waitedMs,
+    );
     const sent = await this.dispatch(incoming, read.value, signal);
     if (!sent.ok) {
       ticket.value.release();
@@ -315,7 +318,7 @@
 
   private async cancelAtEngine(name: string): Promise<void> {
     const maxBytes = 64 * 1024;
-    await httpClient.fetchWhole(
+    await httpClient.fetchBuffered(
       this.context.agent,
       {
         address: this.context.targetAddress,
--- a/src/roles/process-face.ts
+++ b/src/roles/process-endpoints.ts
@@ -7,7 +7,7 @@
 import {RPC_PATH} from '../rpc/types';
 
 /** What a process shows of itself. */
-export interface ProcessFace {
+export interface ProcessEndpoints {
   readonly rpc: RpcServer;
   readonly metrics: Metrics;
   isReady(): boolean;
@@ -15,14 +15,14 @@
 
 /** Answers a process path; false where the path is none of them. */
 export async function answerProcessPath(
-  face: ProcessFace,
+  face: ProcessEndpoints,
   req: http.IncomingMessage,
   res: http.ServerResponse,
 ): Promise<boolean> {
   const path = (req.url ?? '/').split('?')[0];
   switch (path) {
     case RPC_PATH:
-      await face.rpc.answer(req, res);
+      await face.rpc.handleRequest(req, res);
       return true;
     case '/healthz':
       body.sendJson(res, 200, {alive: true});
@@ -31,7 +31,7 @@
       body.sendJson(res, face.isReady() ? 200 : 503, {ready: face.isReady()});
       return true;
     case '/metrics': {
-      const page = await prometheus.printPage(face.metrics.samples());
+      const page = await prometheus.formatMetrics(face.metrics.samples());
       res.writeHead(200, {'content-type': page.type});
       res.end(page.text);
       return true;
--- a/src/targets/cooldown.ts
+++ b/src/targets/cooldown.ts
@@ -23,7 +23,7 @@
 
 /** Milliseconds after which a caller refused for a cooldown should retry. */
 export function withRetryJitter(cooldownMs: number): number {
-  return cooldownMs * (1 + CALLER_RETRY_JITTER * random.unit());
+  return cooldownMs * (1 + CALLER_RETRY_JITTER * random.uniform());
 }
 
 export class Cooldown {
@@ -33,7 +33,7 @@
 
   /** Starts or extends the cooldown; the latest end counts. */
   start(ms: number, now: number): void {
-    const endsAt = now + ms * (1 + COOLDOWN_JITTER * random.unit());
+    const endsAt = now + ms * (1 + COOLDOWN_JITTER * random.uniform());
     this.endsAt = Math.max(this.endsAt, endsAt);
     this.lastTrialAt = -Infinity;
     this.hasAccepted = false;
--- a/src/targets/limit-coordinator.ts
+++ b/src/targets/limit-coordinator.ts
@@ -6,7 +6,7 @@
  * No calls are made without a limited target or without peers.
  */
 import type {Log} from '../observability/log';
-import type {PeerOrder} from '../peers/peer-order';
+import type {PeerRanking} from '../peers/peer-ranking';
 import * as grouping from '../grouping';
 import * as random from '../random';
 import type {RpcClient} from '../rpc/client';
@@ -40,7 +40,7 @@
 
 export interface LimitContext {
   readonly rpc: Pick<RpcClient, 'call'>;
-  readonly peers: PeerOrder;
+  readonly peers: PeerRanking;
   readonly limits: RateLimitTracker;
   readonly log: Log;
   /** Called when a peer reports a newer limit. */
@@ -68,7 +68,7 @@
   open(server: Pick<RpcServer, 'handle'>): void {
     server.handle(app.borrow, ({from, asks}) => {
       const now = performance.now();
-      this.context.peers.noteHeard(from);
+      this.context.peers.markResponsive(from);
       this.hasPeerContact = true;
       return {answers: asks.map(ask => this.handleRequest(ask, now))};
     });
@@ -101,8 +101,8 @@
     const silent = peers
       .ranked(lifetime)
       .slice(0, 1 + SUCCESSORS_NOTIFIED)
-      .filter(one => peers.isSilent(one));
-    const isIssuer = order[0] === peers.own;
+      .filter(one => peers.isUnresponsive(one));
+    const isIssuer = order[0] === peers.ownAddress;
     if (isIssuer && (wanted > 0 || this.isIssuing(lifetime))) {
       const granted = this.grant(lifetime, word, wanted, now);
       return {...granted, order, silent, word: toMessage(granted.word, now)};
@@ -145,7 +145,7 @@
       ({lifetime, word}) => this.issuerOrder(lifetime, word, now)[0]!,
     );
     for (const [issuer, batch] of byIssuer) {
-      if (issuer === this.context.peers.own) {
+      if (issuer === this.context.peers.ownAddress) {
         batch.forEach(request => this.requestFromSelf(request, now));
       } else {
         void this.requestFromPeer(issuer, batch);
@@ -174,7 +174,7 @@
   /** True after the start while peers are known and none was in contact. */
   private isAwaitingFirstContact(now: number): boolean {
     const hasNoContact =
-      !this.hasPeerContact && !this.context.peers.book.isEmpty;
+      !this.hasPeerContact && !this.context.peers.directory.isEmpty;
     return hasNoContact && now - this.startedAt < FIRST_CONTACT_TIMEOUT_MS;
   }
 
@@ -214,18 +214,18 @@
       word: toMessage(word, now),
       wanted,
     }));
-    const params = {from: peers.own, asks};
+    const params = {from: peers.ownAddress, asks};
     const answer = await rpc.call(peer, app.borrow, params, RPC_TIMEOUT_MS);
     if (!answer.ok) {
-      peers.noteSilent(peer);
+      peers.markUnresponsive(peer);
       return undefined;
     }
-    peers.noteHeard(peer);
+    peers.markResponsive(peer);
     this.hasPeerContact = true;
     for (const {order, silent} of answer.value.answers) {
       // The peer counts these as responsive; the next call corrects an error.
-      peers.noteHeard(...order);
-      peers.book.learn(silent);
+      peers.markResponsive(...order);
+      peers.directory.add(silent);
     }
     return answer.value.answers;
   }
@@ -248,10 +248,10 @@
   ): string[] {
     const {peers} = this.context;
     peers
-      .takeTrials(lifetime, now)
+      .takeDueRetries(lifetime, now)
       .slice(0, MAX_SILENT_TRIED)
       .forEach(one => void this.call(one, [{lifetime, word, wanted: 0}]));
-    return peers.answering(lifetime);
+    return peers.responsive(lifetime);
   }
 
   private isIssuing(lifetime: string): boolean {
@@ -270,7 +270,7 @@
       this.context.log.event('limitLent', {
         lifetime,
         limit: word.perSecond,
-        peers: this.context.peers.book.known.length,
+        peers: this.context.peers.directory.known.length,
       });
       this.announce(lifetime, word, now);
       this.heartbeatTimer ??= this.scheduleHeartbeat();
@@ -311,7 +311,7 @@
     notified: Set<string>,
   ): Promise<void> {
     const [first, ...others] = this.issuerOrder(lifetime, word, now);
-    const {own} = this.context.peers;
+    const {ownAddress: own} = this.context.peers;
     if (first !== own) {
       this.stopIssuing(lifetime);
       return;
--- a/src/targets/probe.ts
+++ b/src/targets/probe.ts
@@ -52,7 +52,7 @@
     if (this.cooldown.isActive(performance.now())) {
       return undefined;
     }
-    const answer = await httpClient.fetchWhole(
+    const answer = await httpClient.fetchBuffered(
       this.agent,
       {
         address: this.address,
@@ -85,9 +85,11 @@
     this.timer = setTimeout(() => void this.poll(), PROBE_INTERVAL_MS);
   }
 
-  private applyRetryAfter(answer: Result<httpClient.Answer, unknown>): void {
+  private applyRetryAfter(
+    answer: Result<httpClient.HttpResponse, unknown>,
+  ): void {
     const asked = answer.ok
-      ? retryAfter.readRest(answer.value.status, answer.value.headers)
+      ? retryAfter.parseRetryAfter(answer.value.status, answer.value.headers)
       : undefined;
     if (asked?.kind === 'rest') {
       this.cooldown.start(asked.ms, performance.now());
--- a/src/targets/rate-limit-tracker.ts
+++ b/src/targets/rate-limit-tracker.ts
@@ -4,7 +4,7 @@
  * that all processes together keep to the limit. Takes the time as an argument.
  */
 import * as bounded from '../bounded';
-import type {LimitNamed} from '../http/server-limit';
+import type {RateLimitHeader} from '../http/server-limit';
 import * as rateLimits from './rate-limit';
 import type {RateLimit} from './rate-limit';
 import {PERMIT_TTL_MS} from './permit-issuer';
@@ -50,7 +50,7 @@
    */
   applyAdvertised(
     lifetime: string,
-    named: LimitNamed,
+    named: RateLimitHeader,
     sentAt: number,
     now: number,
   ): LimitChange | undefined {
