--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -169,7 +169,7 @@
   const rpcServer = new RpcServer(SILENT_LOG);
   rpcServer.handle(method, () => result);
   const server = http.createServer((req, res) => {
-    void rpcServer.answer(req, res);
+    void rpcServer.handleRequest(req, res);
   });
   const sockets = new Set<Socket>();
   server.on('connection', socket => {
@@ -211,7 +211,7 @@
   const change: MapChange = {
     ...{id: '01890a5d-ac96-774b-bcce-b302099a8057', generation: 1, from: 1},
     step: 1,
-    map: {version: 2, layers: load.firstLayers(8, 128, 64)},
+    map: {version: 2, layers: load.roundRobinLayers(8, 128, 64)},
   };
   const answer = {
     refusal: null,
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -8,8 +8,8 @@
   Demand,
   Plan,
   PlacementPolicy,
-  Situation,
-  Weights,
+  PlacementInput,
+  PlacementWeights,
 } from '../src/placement/types';
 import * as random from '../src/random';
 import * as stats from './stats';
@@ -101,11 +101,11 @@
 /** Plans, and notes how long the loop was held without a break. */
 async function planTimed(
   policy: PlacementPolicy,
-  situation: Situation,
+  situation: PlacementInput,
   heldMs: number[],
-  weights: Weights,
+  weights: PlacementWeights,
 ): Promise<Plan | null> {
-  if (policy instanceof policies.GainOverCost) {
+  if (policy instanceof policies.GreedyImprovement) {
     return policy.planInSlices(situation, weights, ms => heldMs.push(ms));
   }
   const begunAt = performance.now();
@@ -116,7 +116,7 @@
 
 async function runPolicy(
   policy: PlacementPolicy,
-  weights: Pick<Weights, 'skew' | 'move'>,
+  weights: Pick<PlacementWeights, 'skew' | 'move'>,
   shape: Shape,
   ranks: number,
   seed: number,
@@ -126,7 +126,7 @@
   const slowness = new Array<number>(ranks).fill(1);
   slowness[SLOW_RANK] = SLOW_FACTOR;
   const slotsPerLayer = Math.ceil(EXPERTS / ranks) + 1;
-  let layers = load.firstLayers(LAYERS, EXPERTS, ranks);
+  let layers = load.roundRobinLayers(LAYERS, EXPERTS, ranks);
   const skews: number[] = [];
   const steps: number[] = [];
   const planMs: number[] = [];
@@ -136,7 +136,7 @@
   for (let period = 0; period < PERIODS; period += 1) {
     const demand = drifting.at(period);
     if (seen !== undefined) {
-      const situation: Situation = {
+      const situation: PlacementInput = {
         map: {version: period, layers},
         demand: seen,
         slowness,
@@ -207,8 +207,14 @@
       ) => runPolicy(policy, weights, shape, ranks, seed);
       const never = await one(new policies.NeverMove(), FLEETS.memberTopUp);
       const rebuild = await one(new policies.Rebuild(), FLEETS.memberTopUp);
-      const member = await one(new policies.GainOverCost(), FLEETS.memberTopUp);
-      const lommebok = await one(new policies.GainOverCost(), FLEETS.lommebok);
+      const member = await one(
+        new policies.GreedyImprovement(),
+        FLEETS.memberTopUp,
+      );
+      const lommebok = await one(
+        new policies.GreedyImprovement(),
+        FLEETS.lommebok,
+      );
       results.push({
         shape,
         ranks,
--- a/src/commands/local-site.ts
+++ b/src/commands/local-site.ts
@@ -15,8 +15,8 @@
 
 const HALLS = ['hall-a', 'hall-b', 'hall-c'] as const;
 const FREE_PORT = '127.0.0.1:0';
-const SERVICES = 3;
-const STOP_PATIENCE_MS = 10_000;
+const SERVICE_COUNT = 3;
+const STOP_TIMEOUT_MS = 10_000;
 
 /** Addresses of a running local site. */
 export interface LocalAddresses {
@@ -60,7 +60,7 @@
       rank: 0,
     });
     await this.entry.whenReady();
-    await this.entry.whenTargetsKnown(SERVICES + 1);
+    await this.entry.whenTargetsKnown(SERVICE_COUNT + 1);
     return {entry: address, platform};
   }
 
@@ -85,7 +85,7 @@
 
   private async openServices(platform: string): Promise<void> {
     const runs: RunCounts = new Map();
-    for (let index = 0; index < SERVICES; index += 1) {
+    for (let index = 0; index < SERVICE_COUNT; index += 1) {
       const standin = new ServiceStandin(runs);
       this.services.push(standin);
       const target = await standin.open(FREE_PORT);
@@ -151,6 +151,6 @@
     platform,
     peers: [],
     logLevel: 'info' as const,
-    stopPatienceMs: STOP_PATIENCE_MS,
+    stopPatienceMs: STOP_TIMEOUT_MS,
   };
 }
--- a/src/commands/local.ts
+++ b/src/commands/local.ts
@@ -42,7 +42,7 @@
       {
         open: async () => {
           const {entry, platform} = await site.open(cfg.listen);
-          process.stdout.write(printGuide(entry, platform));
+          process.stdout.write(guideText(entry, platform));
         },
         stop: () => site.stop(),
       },
@@ -51,7 +51,7 @@
   });
 }
 
-function printGuide(entry: string, platform: string): string {
+function guideText(entry: string, platform: string): string {
   return `ferrycleat runs: entry http://${entry}, platform stand-in ${platform}
 
 A streamed chat completion:
--- a/src/commands/operators.ts
+++ b/src/commands/operators.ts
@@ -66,10 +66,10 @@
     await withStore(cfg.platform, async store => {
       const read = await edit.readChange(store, keyOf(kind, name));
       if (!read.ok) {
-        return failWith(command, read.error);
+        return failWithError(command, read.error);
       }
       if (read.value === null) {
-        return say(command, EXIT.failed, `no ${kind} ${name}`);
+        return failWithMessage(command, EXIT.failed, `no ${kind} ${name}`);
       }
       const {version, change} = read.value;
       print(
@@ -93,7 +93,7 @@
     await withStore(cfg.platform, async store => {
       const read = await edit.readHistory(store, keyOf(kind, name));
       if (!read.ok) {
-        return failWith(command, read.error);
+        return failWithError(command, read.error);
       }
       print(
         command.opts()['json']
@@ -118,7 +118,7 @@
       for (const document of documents) {
         const read = await edit.readChange(store, types.keyOf(document));
         if (!read.ok) {
-          return failWith(command, read.error);
+          return failWithError(command, read.error);
         }
         const before = read.value
           ? parse.printDocument(read.value.change.document)
@@ -158,11 +158,11 @@
   const base = cfg.base ?? (await currentVersion(store, key));
   const applied = await edit.applyDocument(store, document, base, cfg.author);
   if (!applied.ok) {
-    failWith(command, applied.error);
+    failWithError(command, applied.error);
     return false;
   }
   const {object, changeId} = applied.value;
-  const told = await pushToSome(store, object);
+  const told = await pushToProcesses(store, object);
   print(
     `accepted ${key} as version ${object.version} (change ${changeId}), ` +
       `told ${told} processes`,
@@ -179,18 +179,21 @@
 }
 
 /** A few processes hear of it at once, also if the store goes down now. */
-async function pushToSome(
+async function pushToProcesses(
   store: HttpObjectApi,
   object: {key: string; version: number; value?: unknown},
 ): Promise<number> {
-  const TOLD = 6;
+  const PUSHED_PROCESSES = 6;
   const list = await store.instances();
   if (!list.ok) {
     return 0;
   }
   const live = list.value.filter(i => i.state === 'live');
   const byHall = new Map(live.map(i => [i.hall, i]));
-  const some = new Set([...byHall.values(), ...live.slice(0, TOLD)]);
+  const some = new Set([
+    ...byHall.values(),
+    ...live.slice(0, PUSHED_PROCESSES),
+  ]);
   const rpc = new RpcClient();
   const item = {...object, value: object.value};
   const answers = await Promise.all(
@@ -249,15 +252,15 @@
     await withStore(cfg.platform, async store => {
       const list = await store.instances();
       if (!list.ok) {
-        return failWith(command, list.error);
+        return failWithError(command, list.error);
       }
       const rpc = new RpcClient();
-      const rows = await statusView.askAll(rpc, list.value);
+      const rows = await statusView.fetchStatusRows(rpc, list.value);
       rpc.close();
       print(
         command.opts()['json']
           ? JSON.stringify(rows)
-          : statusView.printTable(rows),
+          : statusView.formatTable(rows),
       );
     });
   });
@@ -275,7 +278,7 @@
     await withStore(cfg.platform, async store => {
       const list = await store.instances();
       if (!list.ok) {
-        return failWith(command, list.error);
+        return failWithError(command, list.error);
       }
       const entries = list.value.filter(i => i.role === 'entry');
       const rpc = new RpcClient();
@@ -287,12 +290,16 @@
         answer.ok && answer.value.entry !== null ? [answer.value.entry] : [],
       );
       if (found.length === 0) {
-        return say(command, EXIT.failed, `no entry remembers ${request}`);
+        return failWithMessage(
+          command,
+          EXIT.failed,
+          `no entry remembers ${request}`,
+        );
       }
       print(
         command.opts()['json']
           ? JSON.stringify(found)
-          : found.map(statusView.printJournal).join('\n'),
+          : found.map(statusView.formatJournal).join('\n'),
       );
     });
   });
@@ -331,26 +338,26 @@
   }
 }
 
-function failWith(command: Command, error: edit.EditError): void {
+function failWithError(command: Command, error: edit.EditError): void {
   switch (error.kind) {
     case 'edit-conflict':
-      print(printConflict(error));
+      print(formatConflict(error));
       process.exitCode = EXIT.conflict;
       return;
     case 'unavailable':
     case 'outcome-unknown':
     case 'watch-too-old':
-      return say(command, EXIT.unavailable, JSON.stringify(error));
+      return failWithMessage(command, EXIT.unavailable, JSON.stringify(error));
     case 'conflict':
     case 'value-too-large':
     case 'bad-answer':
     case 'immutable':
     case 'unsound':
-      return say(command, EXIT.failed, JSON.stringify(error));
+      return failWithMessage(command, EXIT.failed, JSON.stringify(error));
   }
 }
 
-function printConflict(
+function formatConflict(
   error: Extract<edit.EditError, {kind: 'edit-conflict'}>,
 ): string {
   const theirs = error.theirs ? parse.printDocument(error.theirs.document) : '';
@@ -380,7 +387,11 @@
   process.stdout.write(text + '\n');
 }
 
-function say(_command: Command, exitCode: number, text: string): void {
+function failWithMessage(
+  _command: Command,
+  exitCode: number,
+  text: string,
+): void {
   process.stderr.write(`error: ${text}\n`);
   process.exitCode = exitCode;
 }
--- a/src/commands/status.ts
+++ b/src/commands/status.ts
@@ -17,24 +17,32 @@
   readonly stepMs: number | null;
 }
 
-const ASK_TIMEOUT_MS = 1_000;
+const REPORT_TIMEOUT_MS = 1_000;
 
 /** Asks every listed sidecar for its own word. */
-export function askAll(
+export function fetchStatusRows(
   rpc: RpcClient,
   instances: readonly Instance[],
 ): Promise<StatusRow[]> {
-  return Promise.all(instances.map(instance => askOne(rpc, instance)));
+  return Promise.all(instances.map(instance => fetchStatusRow(rpc, instance)));
 }
 
-async function askOne(rpc: RpcClient, instance: Instance): Promise<StatusRow> {
+async function fetchStatusRow(
+  rpc: RpcClient,
+  instance: Instance,
+): Promise<StatusRow> {
   const {id, hall, role, address, serves} = instance;
   const base = {id, hall, role, address, serves};
   const none = {running: null, queued: null, stepMs: null};
   if (role === 'entry') {
     return {...base, ...none, state: instance.state};
   }
-  const answer = await rpc.call(address, targetsApp.report, {}, ASK_TIMEOUT_MS);
+  const answer = await rpc.call(
+    address,
+    targetsApp.report,
+    {},
+    REPORT_TIMEOUT_MS,
+  );
   if (!answer.ok) {
     return {...base, ...none, state: `no answer: ${answer.error.kind}`};
   }
@@ -44,7 +52,7 @@
 }
 
 /** Rows as a table for people. */
-export function printTable(rows: readonly StatusRow[]): string {
+export function formatTable(rows: readonly StatusRow[]): string {
   const heads = [
     'id',
     'hall',
@@ -74,7 +82,7 @@
 }
 
 /** A request's decisions for people. */
-export function printJournal(entry: JournalEntry): string {
+export function formatJournal(entry: JournalEntry): string {
   const lines = [
     `${entry.request}  ${entry.what}  account ${entry.account}`,
     `  at ${entry.at}, outcome ${entry.outcome} ${entry.detail}`.trimEnd(),
--- a/src/configuration/follower.ts
+++ b/src/configuration/follower.ts
@@ -111,8 +111,8 @@
   /** Lets calls between processes carry and compare stamps. */
   get stampExchange(): StampExchange {
     return {
-      mine: () => replica.printStamp(this.replica.stamp),
-      seen: (stamp, address) => void this.catchUp(stamp, address),
+      ownStamp: () => replica.printStamp(this.replica.stamp),
+      onPeerStamp: (stamp, address) => void this.catchUp(stamp, address),
     };
   }
 
--- a/src/experts/group-client.test.ts
+++ b/src/experts/group-client.test.ts
@@ -154,7 +154,7 @@
     '127.0.0.1:0',
     async (req, res) => {
       if (!isStalled) {
-        await rpc.answer(req, res);
+        await rpc.handleRequest(req, res);
       }
     },
     () => undefined,
--- a/src/experts/group-member.ts
+++ b/src/experts/group-member.ts
@@ -9,7 +9,7 @@
 import * as objects from '../platform/types';
 import {WatchEvent, WatchLoop} from '../platform/watch-loop';
 import * as random from '../random';
-import type {ExpertFigures} from '../routes/types';
+import type {ExpertParameters} from '../routes/types';
 import type {RpcClient} from '../rpc/client';
 import type {SiteDocuments} from '../roles/site-documents';
 import type {Target} from '../forwarding/types';
@@ -60,7 +60,7 @@
   private group = '';
   private rank = 0;
   private members: readonly Target[] = [];
-  private figures: ExpertFigures | undefined;
+  private figures: ExpertParameters | undefined;
   private watches: readonly WatchLoop[] = [];
   private isClosed = false;
 
--- a/src/experts/map-changer.ts
+++ b/src/experts/map-changer.ts
@@ -5,7 +5,7 @@
 import {Log} from '../observability/log';
 import {Metrics} from '../observability/metrics';
 import * as random from '../random';
-import type {ExpertFigures} from '../routes/types';
+import type {ExpertParameters} from '../routes/types';
 import * as mapChange from './change';
 import type {GroupClient, GroupRanks} from './group-client';
 import {MAX_PASSES_AHEAD, PassClock} from './pass-clock';
@@ -34,7 +34,7 @@
   /** Name for logs. */
   readonly group: string;
   /** Undefined until the configuration is known. */
-  figures(): ExpertFigures | undefined;
+  figures(): ExpertParameters | undefined;
   readonly links: GroupClient;
   /** 0 while another process plans. */
   term(): number;
@@ -105,7 +105,7 @@
 
   /** Changes the map; rejects only where an order was given wrongly. */
   async run(
-    figures: ExpertFigures,
+    figures: ExpertParameters,
     known: MapInForce,
     {version, plan}: NextMap,
   ): Promise<mapChange.ChangeOutcome> {
@@ -139,7 +139,12 @@
       );
       const ms = Math.round(performance.now() - begunAt);
       this.context.metrics.count('map_changes_total', {end});
-      this.context.metrics.time('map_change', this.context.group, 'all', ms);
+      this.context.metrics.recordDuration(
+        'map_change',
+        this.context.group,
+        'all',
+        ms,
+      );
       this.context.log.event('mapChanged', {
         group: this.context.group,
         version,
@@ -199,7 +204,12 @@
     const {armMs} = this.state;
     if (armMs !== undefined) {
       this.armMs = Math.max(armMs, this.armMs * ARM_TIME_DECAY);
-      this.context.metrics.time('arming', this.context.group, 'all', armMs);
+      this.context.metrics.recordDuration(
+        'arming',
+        this.context.group,
+        'all',
+        armMs,
+      );
     }
   }
 }
--- a/src/experts/planner.ts
+++ b/src/experts/planner.ts
@@ -3,7 +3,7 @@
  * the ranks several times a second, and changes the map where that relieves
  * them by more than it costs.
  */
-import type {ExpertFigures} from '../routes/types';
+import type {ExpertParameters} from '../routes/types';
 import * as mapChange from './change';
 import {RecentDemand} from './demand';
 import * as links from './group-client';
@@ -259,7 +259,12 @@
 
   private recordReadingTime(ms: number): void {
     this.readingMs += READING_TIME_WEIGHT * (ms - this.readingMs);
-    this.context.metrics.time('reading', this.context.group, 'all', ms);
+    this.context.metrics.recordDuration(
+      'reading',
+      this.context.group,
+      'all',
+      ms,
+    );
   }
 
   private updateStates(reading: GroupReading): void {
@@ -278,7 +283,10 @@
   }
 
   /** True where demand has changed at once. */
-  private updateDemand(figures: ExpertFigures, reading: GroupReading): boolean {
+  private updateDemand(
+    figures: ExpertParameters,
+    reading: GroupReading,
+  ): boolean {
     this.demand ??= new RecentDemand(figures.sets);
     if (reading.growth === undefined) {
       return false;
@@ -295,7 +303,7 @@
   }
 
   private async plan(
-    figures: ExpertFigures,
+    figures: ExpertParameters,
     known: KnownGroup,
     reading: GroupReading,
   ): Promise<void> {
@@ -373,7 +381,7 @@
   }
 
   private async change(
-    figures: ExpertFigures,
+    figures: ExpertParameters,
     known: KnownGroup,
     next: mapChanger.NextMap,
   ): Promise<void> {
--- a/src/forwarding/call.ts
+++ b/src/forwarding/call.ts
@@ -171,12 +171,12 @@
   /** What made the answer come later than its route aims at. */
   private lateness(wholeMs: number): 'first-event' | 'pause' | undefined {
     const {route} = this;
-    if (route === undefined || route.objectiveMs === 0) {
+    if (route === undefined || route.latencyObjectiveMs === 0) {
       return undefined;
     }
     const firstMs =
       route.kind === 'stream' ? (this.firstEventMs ?? 0) : wholeMs;
-    if (firstMs > route.objectiveMs) {
+    if (firstMs > route.latencyObjectiveMs) {
       return 'first-event';
     }
     const isPaused = route.pauseMs > 0 && this.longestPauseMs > route.pauseMs;
@@ -204,7 +204,7 @@
   private recordTiming(timing: Timing): void {
     const ms = performance.now() - this.startedAt;
     const kind = this.route?.kind ?? 'no-route';
-    this.context.metrics.time(timing, this.account, kind, ms);
+    this.context.metrics.recordDuration(timing, this.account, kind, ms);
   }
 
   private connectionHeaders(mustClose: boolean): string[] {
--- a/src/forwarding/exchange.ts
+++ b/src/forwarding/exchange.ts
@@ -72,7 +72,7 @@
     headers: wire.targetHeaders(send.head, send.metadata),
     body: send.body,
     timeoutMs: leftMs,
-    connectMs: CONNECT_TIMEOUT_MS,
+    connectTimeoutMs: CONNECT_TIMEOUT_MS,
     signal: send.signal,
   });
   if (!answer.ok) {
--- a/src/forwarding/group-request-limit.ts
+++ b/src/forwarding/group-request-limit.ts
@@ -4,7 +4,7 @@
  * together; its length is the slowest rank's own part plus, for each set of
  * layers, the part of the rank with the most loaded experts. Pure.
  */
-import type {EngineFigures} from '../routes/types';
+import type {EngineParameters} from '../routes/types';
 
 /** What is known of a group that decides how long its passes are. */
 export interface PassFactors {
@@ -30,21 +30,21 @@
 const THOUSAND = 1_000;
 
 /** Milliseconds of work that a request is to its rank in one pass. */
-function workMsPerPass(engine: EngineFigures): number {
-  const context = engine.usualPrompt + engine.usualAnswer / 2;
+function workMsPerPass(engine: EngineParameters): number {
+  const context = engine.meanPromptTokens + engine.meanAnswerTokens / 2;
   const step =
     engine.perSequenceMs + (engine.perContextKMs * context) / THOUSAND;
-  const passes = Math.max(engine.usualAnswer / engine.stride, 1);
+  const passes = Math.max(engine.meanAnswerTokens / engine.stride, 1);
   const readMs =
     engine.promptTokensPerSecond > 0
-      ? (engine.usualPrompt / engine.promptTokensPerSecond) * THOUSAND
+      ? (engine.meanPromptTokens / engine.promptTokensPerSecond) * THOUSAND
       : 0;
   return step * engine.stride + readMs / passes;
 }
 
 /** Milliseconds of a pass with so many requests a rank. */
 export function passMs(
-  engine: EngineFigures,
+  engine: EngineParameters,
   pace: PassFactors,
   perRank: number,
 ): number {
@@ -57,7 +57,7 @@
 
 /** Requests that the group may work on at once. */
 export function maxRequests(
-  engine: EngineFigures,
+  engine: EngineParameters,
   pace: PassFactors,
   pauseMs: number,
 ): number {
--- a/src/forwarding/group-views.test.ts
+++ b/src/forwarding/group-views.test.ts
@@ -1,7 +1,7 @@
 import type {GroupView} from '../experts/types';
 import {Reach} from '../peers/reach';
 import {ok} from '../result';
-import type {EngineFigures} from '../routes/types';
+import type {EngineParameters} from '../routes/types';
 import type {RpcClient} from '../rpc/client';
 import {GroupViews} from './group-views';
 import type {Target} from './types';
@@ -10,7 +10,7 @@
 const ENTRIES = 14;
 const PAUSE_MS = 150;
 
-const ENGINE: EngineFigures = {
+const ENGINE: EngineParameters = {
   slots: 7,
   stepMs: 4.55,
   perSequenceMs: 1.557,
@@ -18,8 +18,8 @@
   promptTokensPerSecond: 61_400,
   chunkTokens: 512,
   stride: 5,
-  usualPrompt: 868,
-  usualAnswer: 97,
+  meanPromptTokens: 868,
+  meanAnswerTokens: 97,
   experts: {
     sets: 16,
     experts: 96,
--- a/src/forwarding/group-views.ts
+++ b/src/forwarding/group-views.ts
@@ -9,7 +9,7 @@
 import type {Reach} from '../peers/reach';
 import * as grouping from '../grouping';
 import * as random from '../random';
-import type {EngineFigures} from '../routes/types';
+import type {EngineParameters} from '../routes/types';
 import type {RpcClient} from '../rpc/client';
 import * as limits from './group-request-limit';
 import type {Target} from './types';
@@ -142,7 +142,7 @@
   /** What a target's group may take. */
   capacityOf(
     target: Target,
-    engine: EngineFigures,
+    engine: EngineParameters,
     pauseMs: number,
     now: number,
   ): GroupCapacity {
@@ -178,7 +178,7 @@
    */
   private estimateCapacity(
     target: Target,
-    engine: EngineFigures,
+    engine: EngineParameters,
     pauseMs: number,
     now: number,
   ): GroupCapacity {
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -188,7 +188,7 @@
         if (events.length > 0) {
           begin();
           call.noteEvents();
-          await bodies.writePatiently(call.res, events);
+          await bodies.writeWithBackpressure(call.res, events);
         }
       }
       if (isComplete(from, splitter) && !call.isCallerGone) {
@@ -244,5 +244,5 @@
  */
 function isComplete(from: StreamingOutcome, splitter: EventSplitter): boolean {
   const isCut = from.head.isUnframed && splitter.partial.length > 0;
-  return resets.isWhole(from.res) && !isCut;
+  return resets.isComplete(from.res) && !isCut;
 }
--- a/src/forwarding/target-list.ts
+++ b/src/forwarding/target-list.ts
@@ -13,7 +13,7 @@
  */
 import * as bounded from '../bounded';
 import * as grouping from '../grouping';
-import type {LimitNamed} from '../http/server-limit';
+import type {RateLimitHeader} from '../http/server-limit';
 import {RateLimitTracker, LimitChange} from '../targets/rate-limit-tracker';
 import * as revisions from '../platform/revisions';
 import {CooldownTracker} from '../targets/cooldown-tracker';
@@ -192,7 +192,7 @@
   /** Takes what an answer says of its target's limit; tells what it changes. */
   noteRateLimit(
     target: Target,
-    named: LimitNamed,
+    named: RateLimitHeader,
     sentAt: number,
     now: number,
   ): LimitChange | undefined {
--- a/src/forwarding/types.ts
+++ b/src/forwarding/types.ts
@@ -1,7 +1,7 @@
 /** What forwarding a request deals in, whatever is spoken on the wire. */
 import type * as http from 'node:http';
-import type {RestAsked} from '../http/retry-after';
-import type {LimitNamed} from '../http/server-limit';
+import type {RetryAfterHeader} from '../http/retry-after';
+import type {RateLimitHeader} from '../http/server-limit';
 import type {StoreRevision} from '../platform/revisions';
 import type {Route} from '../routes/types';
 
@@ -81,11 +81,11 @@
   /** The body is not the target's own bytes. */
   readonly isEncoded: boolean;
   /** What the target asks for besides. */
-  readonly retryAfter: RestAsked;
+  readonly retryAfter: RetryAfterHeader;
   /** The target says that it leaves. */
   readonly isLeaving: boolean;
   /** What the target names as its limit; undefined: it isn't its answer. */
-  readonly rateLimit: LimitNamed | undefined;
+  readonly rateLimit: RateLimitHeader | undefined;
   /** No length and no chunks: the end of the connection ends the body. */
   readonly isUnframed: boolean;
   /** Headers to pass on, names and values by turns. */
--- a/src/groups/engine-client.ts
+++ b/src/groups/engine-client.ts
@@ -63,7 +63,7 @@
     document: unknown,
     timeoutMs = ORDER_TIMEOUT_MS,
   ): Promise<boolean> {
-    const answer = await httpClient.fetchWhole(
+    const answer = await httpClient.fetchBuffered(
       this.agent,
       {
         address: this.address,
--- a/src/groups/rank-service.ts
+++ b/src/groups/rank-service.ts
@@ -136,7 +136,7 @@
     this.latestReading = rank;
     this.leader.noteReading(rank);
     const skewMs = Math.max(rank.stepMs - rank.rankMs, 0);
-    this.metrics.time('step_skew', '', this.identity.group, skewMs);
+    this.metrics.recordDuration('step_skew', '', this.identity.group, skewMs);
   }
 
   /** The lowest live rank plans, so that usually one does. */
@@ -213,7 +213,7 @@
   private initialLayers(): number[][][] {
     const counts = this.latestReading?.counts ?? [];
     const experts = counts[0]?.length ?? 0;
-    return load.firstLayers(
+    return load.roundRobinLayers(
       counts.length,
       experts,
       this.latestReading?.ranks ?? 1,
--- a/src/http/body.ts
+++ b/src/http/body.ts
@@ -18,7 +18,7 @@
 ): Promise<Result<Buffer, BodyError>> {
   if (stream instanceof http.IncomingMessage && hasNoBody(stream)) {
     stream.resume();
-    return Promise.resolve(ok(EMPTY));
+    return Promise.resolve(ok(EMPTY_BODY));
   }
   return new Promise(resolve => {
     const chunks: Buffer[] = [];
@@ -34,7 +34,7 @@
     });
     stream.on('end', () => {
       const isCut =
-        stream instanceof http.IncomingMessage && !resets.isWhole(stream);
+        stream instanceof http.IncomingMessage && !resets.isComplete(stream);
       resolve(isCut ? fail({kind: 'body-cut'}) : ok(Buffer.concat(chunks)));
     });
     // Either comes without an end where the peer goes away early.
@@ -43,7 +43,7 @@
   });
 }
 
-const EMPTY = Buffer.alloc(0);
+const EMPTY_BODY = Buffer.alloc(0);
 
 /** A request that names no length and no coding has no body. */
 function hasNoBody(message: http.IncomingMessage): boolean {
@@ -102,19 +102,19 @@
 }
 
 /** Bodies up to this size are passed on in one piece. */
-const SMALL_BYTES = 64 * 1024;
+const MAX_BUFFERED_BYTES = 64 * 1024;
 
 /**
  * Passes an answer's body on with backpressure. True where it came whole; a
  * body that breaks off breaks off for the receiver too.
  */
-export async function passBody(
+export async function forwardBody(
   from: http.IncomingMessage,
   to: http.ServerResponse,
 ): Promise<boolean> {
   const length = Number(from.headers['content-length'] ?? NaN);
-  if (length <= SMALL_BYTES) {
-    const read = await readBody(from, SMALL_BYTES);
+  if (length <= MAX_BUFFERED_BYTES) {
+    const read = await readBody(from, MAX_BUFFERED_BYTES);
     if (read.ok) {
       to.end(read.value);
       return true;
@@ -129,7 +129,7 @@
     to.destroy();
     return false;
   }
-  if (!resets.isWhole(from)) {
+  if (!resets.isComplete(from)) {
     to.destroy();
     return false;
   }
@@ -138,7 +138,7 @@
 }
 
 /** Writes; resolves when the peer can take more, or is gone. */
-export async function writePatiently(
+export async function writeWithBackpressure(
   res: http.ServerResponse,
   data: string | Buffer,
 ): Promise<void> {
--- a/src/http/client.test.ts
+++ b/src/http/client.test.ts
@@ -62,12 +62,12 @@
         const sent = await httpClient.send(agent, {...CALL, address});
         if (sent.ok) {
           res.writeHead(200);
-          isWhole = await body.passBody(sent.value, res);
+          isWhole = await body.forwardBody(sent.value, res);
         }
       },
       () => undefined,
     );
-    const got = await httpClient.fetchWhole(
+    const got = await httpClient.fetchBuffered(
       agent,
       {...CALL, address: relay.address},
       LIMIT_BYTES,
@@ -79,7 +79,7 @@
   it('is whole for nobody, whether read or passed on', async () => {
     for (const how of ['reset-at-once', 'reset-later'] as const) {
       end = how;
-      const answer = await httpClient.fetchWhole(
+      const answer = await httpClient.fetchBuffered(
         agent,
         {...CALL, address},
         LIMIT_BYTES,
@@ -95,7 +95,7 @@
 
   it('is whole where its connection ends as it should', async () => {
     end = 'end';
-    const answer = await httpClient.fetchWhole(
+    const answer = await httpClient.fetchBuffered(
       agent,
       {...CALL, address},
       LIMIT_BYTES,
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -29,7 +29,7 @@
   /** Milliseconds until the head of the answer. */
   readonly timeoutMs: number;
   /** Milliseconds until a new connection is up; one second by default. */
-  readonly connectMs?: number;
+  readonly connectTimeoutMs?: number;
   readonly signal?: AbortSignal;
 }
 
@@ -68,7 +68,7 @@
       if (!connected) {
         stop({kind: 'no-connection', sent: false});
       }
-    }, call.connectMs ?? CONNECT_TIMEOUT_MS);
+    }, call.connectTimeoutMs ?? CONNECT_TIMEOUT_MS);
     const timer = setTimeout(
       () => stop({kind: 'timed-out', sent: connected}),
       Math.max(call.timeoutMs, 0),
@@ -134,18 +134,18 @@
 }
 
 /** A whole answer. */
-export interface Answer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: Buffer;
 }
 
 /** Sends a request and reads the whole answer under a cap and a time. */
-export async function fetchWhole(
+export async function fetchBuffered(
   agent: http.Agent,
   call: Call,
   limitBytes: number,
-): Promise<Result<Answer, CallError>> {
+): Promise<Result<HttpResponse, CallError>> {
   const res = await send(agent, call);
   if (!res.ok) {
     return res;
--- a/src/http/decimal.ts
+++ b/src/http/decimal.ts
@@ -3,19 +3,19 @@
 /** Fractions included; a sign, an exponent or a date is none. */
 const DECIMAL = /^(\d+\.?\d*|\.\d+)$/;
 /** Longest part of a text that can't be read that is kept, in characters. */
-const MAX_UNREAD = 40;
+const MAX_KEPT_CHARACTERS = 40;
 
 /** Something that is no number, or none that anybody means. */
-export interface UnreadText {
+export interface UnparsableText {
   readonly kind: 'unread';
   readonly text: string;
 }
 
 /** Undefined where the text is no decimal number. */
-export function readDecimal(text: string): number | undefined {
+export function parseDecimal(text: string): number | undefined {
   return DECIMAL.test(text) ? Number(text) : undefined;
 }
 
-export function unread(text: string): UnreadText {
-  return {kind: 'unread', text: text.slice(0, MAX_UNREAD)};
+export function unparsable(text: string): UnparsableText {
+  return {kind: 'unread', text: text.slice(0, MAX_KEPT_CHARACTERS)};
 }
--- a/src/http/resets.ts
+++ b/src/http/resets.ts
@@ -10,38 +10,38 @@
 import type * as http from 'node:http';
 import type * as net from 'node:net';
 
-interface Watch {
+interface ResetState {
   wasReset: boolean;
 }
 
 /** One watch a connection, however many answers come over it. */
-const ofSocket = new WeakMap<net.Socket, Watch>();
+const stateBySocket = new WeakMap<net.Socket, ResetState>();
 /** An answer may outlive its hold on the connection. */
-const ofAnswer = new WeakMap<http.IncomingMessage, Watch>();
+const stateByResponse = new WeakMap<http.IncomingMessage, ResetState>();
 
 /** Watches an answer's connection; to be called as its head comes. */
 export function watch(res: http.IncomingMessage): void {
   const {socket} = res;
-  let held = ofSocket.get(socket);
+  let held = stateBySocket.get(socket);
   if (held === undefined) {
     held = {wasReset: false};
-    ofSocket.set(socket, held);
-    noteReset(socket, held);
+    stateBySocket.set(socket, held);
+    detectReset(socket, held);
   }
-  ofAnswer.set(res, held);
+  stateByResponse.set(res, held);
 }
 
 /** True where the connection of a watched answer was reset so far. */
 export function wasReset(message: http.IncomingMessage): boolean {
-  return ofAnswer.get(message)?.wasReset ?? false;
+  return stateByResponse.get(message)?.wasReset ?? false;
 }
 
 /** True where a message came to its end, and the end is that of its sender. */
-export function isWhole(message: http.IncomingMessage): boolean {
+export function isComplete(message: http.IncomingMessage): boolean {
   return message.complete && !wasReset(message);
 }
 
-function noteReset(socket: net.Socket, held: Watch): void {
+function detectReset(socket: net.Socket, held: ResetState): void {
   socket.once('error', () => {
     held.wasReset = true;
   });
--- a/src/http/retry-after.test.ts
+++ b/src/http/retry-after.test.ts
@@ -1,7 +1,14 @@
-import {LONGEST_REST_MS, RestAsked, readRest} from './retry-after';
+import {
+  MAX_RETRY_AFTER_MS,
+  RetryAfterHeader,
+  parseRetryAfter,
+} from './retry-after';
 
-function read(status: number, text?: string): RestAsked {
-  return readRest(status, text === undefined ? {} : {'retry-after': text});
+function read(status: number, text?: string): RetryAfterHeader {
+  return parseRetryAfter(
+    status,
+    text === undefined ? {} : {'retry-after': text},
+  );
 }
 
 describe('what an answer asks for', () => {
@@ -12,8 +19,8 @@
     ['.5', 500],
     ['2.', 2_000],
     ['0003', 3_000],
-    ['86400', LONGEST_REST_MS],
-    ['9'.repeat(400), LONGEST_REST_MS],
+    ['86400', MAX_RETRY_AFTER_MS],
+    ['9'.repeat(400), MAX_RETRY_AFTER_MS],
   ])('is rest: %s', (text, ms) => {
     expect(read(503, text)).toEqual({kind: 'rest', ms});
     expect(read(429, text)).toEqual({kind: 'rest', ms});
--- a/src/http/server-limit.ts
+++ b/src/http/server-limit.ts
@@ -3,25 +3,25 @@
 import * as decimal from './decimal';
 
 /** Requests a second from which on a limit is taken for a mistake. */
-const LARGEST_LIMIT = 1_000_000;
+const IMPLAUSIBLE_REQUESTS_PER_SECOND = 1_000_000;
 
 /** What an answer names as its target's limit. */
-export type LimitNamed =
+export type RateLimitHeader =
   /** None: the target takes what comes. */
   | {readonly kind: 'none'}
   /** Requests a second from all senders together; 0 for none at all. */
   | {readonly kind: 'limit'; readonly perSecond: number}
   /** Something that can't be read. */
-  | decimal.UnreadText;
+  | decimal.UnparsableText;
 
 /** Reads a header's text; undefined where the answer has none. */
-export function readLimit(header: string | undefined): LimitNamed {
+export function parseRateLimit(header: string | undefined): RateLimitHeader {
   const text = header?.trim();
   if (text === undefined) {
     return {kind: 'none'};
   }
-  const perSecond = decimal.readDecimal(text);
-  return perSecond !== undefined && perSecond < LARGEST_LIMIT
+  const perSecond = decimal.parseDecimal(text);
+  return perSecond !== undefined && perSecond < IMPLAUSIBLE_REQUESTS_PER_SECOND
     ? {kind: 'limit', perSecond}
-    : decimal.unread(text);
+    : decimal.unparsable(text);
 }
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -5,7 +5,7 @@
 
 const HEADERS_TIMEOUT_MS = 10_000;
 const REQUEST_TIMEOUT_MS = 60_000;
-const KEEP_ALIVE_MS = 65_000;
+const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 const MAX_HEADER_BYTES = 16 * 1024;
 
 /** Answers one request; a rejection is reported through `onFault`. */
@@ -43,7 +43,7 @@
     {
       headersTimeout: HEADERS_TIMEOUT_MS,
       requestTimeout: limits.requestTimeoutMs ?? REQUEST_TIMEOUT_MS,
-      keepAliveTimeout: KEEP_ALIVE_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
       maxHeaderSize: MAX_HEADER_BYTES,
     },
     (req, res) => {
--- a/src/observability/line-writer.ts
+++ b/src/observability/line-writer.ts
@@ -6,27 +6,27 @@
 import * as fs from 'node:fs';
 
 /** Bytes that may wait for a slow reader. */
-const MAX_WAITING_BYTES = 256 * 1024;
+const MAX_QUEUED_BYTES = 256 * 1024;
 /** Pause before a full pipe is tried again, in milliseconds. */
-const FULL_PIPE_PAUSE_MS = 20;
+const FULL_PIPE_RETRY_DELAY_MS = 20;
 
 export class LineWriter {
   /** Lines dropped since the start. */
   dropped = 0;
-  private waiting: string[] = [];
-  private waitingBytes = 0;
+  private queue: string[] = [];
+  private queuedBytes = 0;
   private isWriting = false;
 
   constructor(private readonly descriptor: number) {}
 
   /** Queues a line; false where it was dropped. */
   write(line: string): boolean {
-    if (this.waitingBytes + line.length > MAX_WAITING_BYTES) {
+    if (this.queuedBytes + line.length > MAX_QUEUED_BYTES) {
       this.dropped += 1;
       return false;
     }
-    this.waiting.push(line);
-    this.waitingBytes += line.length + 1;
+    this.queue.push(line);
+    this.queuedBytes += line.length + 1;
     if (!this.isWriting) {
       this.isWriting = true;
       setImmediate(() => this.flush());
@@ -36,7 +36,7 @@
 
   /** Writes what waits, as far as the reader takes it, before an exit. */
   flushNow(): void {
-    const text = this.takeAll();
+    const text = this.takeQueued();
     try {
       fs.writeSync(this.descriptor, text);
     } catch {
@@ -46,33 +46,33 @@
   }
 
   private flush(): void {
-    const bytes = Buffer.from(this.takeAll());
+    const bytes = Buffer.from(this.takeQueued());
     if (bytes.length === 0) {
       this.isWriting = false;
       return;
     }
-    this.put(bytes);
+    this.writeBytes(bytes);
   }
 
-  private put(bytes: Buffer): void {
+  private writeBytes(bytes: Buffer): void {
     fs.write(this.descriptor, bytes, (err, written) => {
       if (err?.code === 'EAGAIN') {
-        setTimeout(() => this.put(bytes), FULL_PIPE_PAUSE_MS);
+        setTimeout(() => this.writeBytes(bytes), FULL_PIPE_RETRY_DELAY_MS);
       } else if (err !== null) {
         this.dropped += 1;
         this.isWriting = false;
       } else if (written < bytes.length) {
-        this.put(bytes.subarray(written));
+        this.writeBytes(bytes.subarray(written));
       } else {
         this.flush();
       }
     });
   }
 
-  private takeAll(): string {
-    const text = this.waiting.map(line => line + '\n').join('');
-    this.waiting = [];
-    this.waitingBytes = 0;
+  private takeQueued(): string {
+    const text = this.queue.map(line => line + '\n').join('');
+    this.queue = [];
+    this.queuedBytes = 0;
     return text;
   }
 }
--- a/src/observability/log.ts
+++ b/src/observability/log.ts
@@ -2,7 +2,7 @@
 import {createConsola} from 'consola/basic';
 import type {ConsolaInstance, LogObject} from 'consola/basic';
 import {EVENTS, EventName, Level} from './catalogue';
-import {LineBudget} from './line-budget';
+import {LogRateLimiter} from './log-rate-limiter';
 import {LineWriter} from './line-writer';
 
 /** Fields of an event. */
@@ -29,21 +29,21 @@
 ): {log: Log; lines: LineWriter} {
   const lines = new LineWriter(STANDARD_OUTPUT);
   const whole = makeLogTo(process_, level, line => lines.write(line));
-  return {log: boundLog(whole, new LineBudget(), lines), lines};
+  return {log: limitRate(whole, new LogRateLimiter(), lines), lines};
 }
 
 /** Leaves lines out over the budget, and tells how many. */
-function boundLog(whole: Log, budget: LineBudget, lines: LineWriter): Log {
+function limitRate(whole: Log, budget: LogRateLimiter, lines: LineWriter): Log {
   let droppedBefore = 0;
   return {
     event: (name, fields = {}) => {
-      const isOrdinary = EVENTS[name].level === 'info';
+      const isInfo = EVENTS[name].level === 'info';
       const request =
         typeof fields.request === 'string' ? fields.request : undefined;
-      if (!budget.admit({isOrdinary, request}, performance.now())) {
+      if (!budget.admit({isInfo, request}, performance.now())) {
         return;
       }
-      const count = budget.takeLeftOut() + lines.dropped - droppedBefore;
+      const count = budget.takeDropped() + lines.dropped - droppedBefore;
       droppedBefore = lines.dropped;
       if (count > 0) {
         whole.event('linesDropped', {count});
@@ -60,7 +60,7 @@
 ): Log {
   const consola = createConsola({
     level: LEVELS[level],
-    reporters: [{log: line => put(printLine(line))}],
+    reporters: [{log: line => put(formatLine(line))}],
   });
   return {
     event: (name, fields = {}) => write(consola, process_, name, fields),
@@ -85,7 +85,7 @@
   });
 }
 
-function printLine(line: LogObject): string {
+function formatLine(line: LogObject): string {
   const fields = line.args[0] as Fields;
   const record = {time: line.date.toISOString(), level: line.type, ...fields};
   return JSON.stringify(record);
--- a/src/observability/metrics.ts
+++ b/src/observability/metrics.ts
@@ -9,9 +9,9 @@
 /** Accounts with histograms of their own. */
 const MAX_ACCOUNTS = 64;
 const OTHER_ACCOUNT = 'other';
-const MICROSECONDS = 1_000;
-const HIGHEST_MICROSECONDS = 600_000_000;
-const DIGITS = 2;
+const MICROSECONDS_PER_MS = 1_000;
+const MAX_DURATION_MICROSECONDS = 600_000_000;
+const SIGNIFICANT_DIGITS = 2;
 const QUANTILES = [0.5, 0.95, 0.99] as const;
 
 /** What is timed. All in milliseconds. */
@@ -39,17 +39,26 @@
   private readonly counters = new Map<string, Sample & {value: number}>();
 
   /** Notes a duration in milliseconds. */
-  time(timing: Timing, account: string, klass: string, ms: number): void {
-    const known = this.boundAccount(account);
+  recordDuration(
+    timing: Timing,
+    account: string,
+    klass: string,
+    ms: number,
+  ): void {
+    const known = this.accountLabel(account);
     const name = `${timing} ${known} ${klass}`;
     let histogram = this.histograms.get(name);
     if (histogram === undefined) {
-      histogram = new hdr.default(1, HIGHEST_MICROSECONDS, DIGITS);
+      histogram = new hdr.default(
+        1,
+        MAX_DURATION_MICROSECONDS,
+        SIGNIFICANT_DIGITS,
+      );
       this.histograms.set(name, histogram);
       this.labelsOf.set(name, {timing, account: known, class: klass});
     }
-    const us = Math.round(Math.max(ms, 0) * MICROSECONDS);
-    histogram.recordValue(Math.min(us, HIGHEST_MICROSECONDS));
+    const us = Math.round(Math.max(ms, 0) * MICROSECONDS_PER_MS);
+    histogram.recordValue(Math.min(us, MAX_DURATION_MICROSECONDS));
   }
 
   /** Adds to a counter. */
@@ -60,13 +69,13 @@
   }
 
   /** Notes time spent in an admission queue. */
-  queued(account: string, ms: number): void {
-    this.time('queue', account, 'all', ms);
+  recordQueueTime(account: string, ms: number): void {
+    this.recordDuration('queue', account, 'all', ms);
   }
 
   /** Notes a refusal. */
-  refused(account: string, kind: string): void {
-    this.count('refusals_total', {account: this.boundAccount(account), kind});
+  countRefusal(account: string, kind: string): void {
+    this.count('refusals_total', {account: this.accountLabel(account), kind});
   }
 
   /** The sum of a counter over all its labels. */
@@ -89,7 +98,7 @@
         samples.push({
           name: base,
           labels: {...labels, quantile: String(quantile)},
-          value: us / MICROSECONDS,
+          value: us / MICROSECONDS_PER_MS,
         });
       }
       samples.push({
@@ -101,7 +110,7 @@
     return samples;
   }
 
-  private boundAccount(account: string): string {
+  private accountLabel(account: string): string {
     if (this.accounts.has(account)) {
       return account;
     }
--- a/src/observability/prometheus.ts
+++ b/src/observability/prometheus.ts
@@ -4,13 +4,15 @@
 const PREFIX = 'ferrycleat_';
 
 /** A page and its content type. */
-export interface Page {
+export interface MetricsPage {
   readonly type: string;
   readonly text: string;
 }
 
 /** Prints samples in Prometheus' text format. */
-export async function printPage(samples: readonly Sample[]): Promise<Page> {
+export async function formatMetrics(
+  samples: readonly Sample[],
+): Promise<MetricsPage> {
   const prom = await import('prom-client');
   const registry = new prom.Registry();
   const gauges = new Map<string, InstanceType<typeof prom.Gauge>>();
--- a/src/placement/demand.ts
+++ b/src/placement/demand.ts
@@ -4,7 +4,7 @@
 const SECOND_MS = 1_000;
 
 export class DecayedDemand {
-  private last: number[][] | undefined;
+  private lastCounts: number[][] | undefined;
   private lastAt = 0;
   private rates: Float64Array[] = [];
 
@@ -21,12 +21,16 @@
   }
 
   /** Notes a reading of counters that only grow while an engine lives. */
-  note(counts: readonly (readonly number[])[], now: number): void {
-    const before = this.last;
+  record(counts: readonly (readonly number[])[], now: number): void {
+    const before = this.lastCounts;
     const elapsedMs = now - this.lastAt;
-    this.last = counts.map(layer => [...layer]);
+    this.lastCounts = counts.map(layer => [...layer]);
     this.lastAt = now;
-    if (before === undefined || elapsedMs <= 0 || hasShrunk(before, counts)) {
+    if (
+      before === undefined ||
+      elapsedMs <= 0 ||
+      hasCounterReset(before, counts)
+    ) {
       return;
     }
     const keep =
@@ -42,7 +46,7 @@
 }
 
 /** Counters that have shrunk come from a rank that started again. */
-function hasShrunk(
+function hasCounterReset(
   before: readonly (readonly number[])[],
   after: readonly (readonly number[])[],
 ): boolean {
--- a/src/placement/load.ts
+++ b/src/placement/load.ts
@@ -1,5 +1,5 @@
 /** Loads of ranks under a map. */
-import type {Demand, Move, Situation} from './types';
+import type {Demand, Move, PlacementInput} from './types';
 
 /** By rank: demand served, times the rank's slowness. */
 export function rankLoads(
@@ -44,7 +44,7 @@
 }
 
 /** The map that a group starts with: experts in turn, no replicas. */
-export function firstLayers(
+export function roundRobinLayers(
   layers: number,
   experts: number,
   ranks: number,
@@ -55,9 +55,9 @@
 }
 
 /** True where every expert is held and no rank holds too many. */
-export function isSound(
+export function isValidPlacement(
   layers: readonly (readonly (readonly number[])[])[],
-  situation: Pick<Situation, 'slowness' | 'slotsPerLayer'>,
+  situation: Pick<PlacementInput, 'slowness' | 'slotsPerLayer'>,
 ): boolean {
   return layers.every(experts => {
     const held = new Array<number>(situation.slowness.length).fill(0);
--- a/src/placement/planner.ts
+++ b/src/placement/planner.ts
@@ -9,8 +9,8 @@
 import * as random from '../random';
 import {DecayedDemand, sumCounts} from './demand';
 import * as load from './load';
-import {GainOverCost} from './policies';
-import type {Move, Situation, Weights} from './types';
+import {GreedyImprovement} from './policies';
+import type {Move, PlacementInput, PlacementWeights} from './types';
 
 /** What one rank tells of its work. */
 export interface RankReading {
@@ -38,10 +38,10 @@
 /** Spare slots of a rank in a layer, beside its share of the experts. */
 const SPARE_SLOTS = 1;
 const HALF_LIFE_PERIODS = 2;
-const SLOWNESS_SHARE = 0.2;
+const SLOWNESS_SMOOTHING = 0.2;
 
 export class Planner {
-  private readonly policy = new GainOverCost();
+  private readonly policy = new GreedyImprovement();
   private demand: DecayedDemand | undefined;
   private slowness: number[] = [];
   private timer: NodeJS.Timeout | undefined;
@@ -75,11 +75,11 @@
       return false;
     }
     this.demand ??= new DecayedDemand(cfg.periodMs * HALF_LIFE_PERIODS);
-    this.demand.note(sumCounts(ranks.map(rank => rank.counts)), now);
+    this.demand.record(sumCounts(ranks.map(rank => rank.counts)), now);
     if (!this.demand.isKnown) {
       return false;
     }
-    const situation = this.situationOf(map, ranks);
+    const situation = this.buildInput(map, ranks);
     const weights = weightsOf(cfg, situation, ranks);
     const plan = await this.policy.planInSlices(situation, weights);
     return plan === null ? false : this.group.propose(plan.layers, plan.moves);
@@ -92,14 +92,14 @@
     }
   }
 
-  private situationOf(
+  private buildInput(
     map: ExpertMap,
     ranks: readonly RankReading[],
-  ): Situation {
+  ): PlacementInput {
     const demand = this.demand!.demand;
     const even = new Array<number>(ranks.length).fill(1);
     const expected = load.rankLoads(map.layers, demand, even);
-    this.learnSlowness(ranks, expected);
+    this.updateSlowness(ranks, expected);
     const experts = map.layers[0]?.length ?? 0;
     return {
       map,
@@ -110,7 +110,7 @@
   }
 
   /** A rank that takes longer for its load than the others is slow. */
-  private learnSlowness(
+  private updateSlowness(
     ranks: readonly RankReading[],
     expected: Float64Array,
   ): void {
@@ -119,7 +119,7 @@
     this.slowness = perLoad.map((own, at) => {
       const seen = typical > 0 ? own / typical : 1;
       const held = this.slowness[at] ?? 1;
-      return held + SLOWNESS_SHARE * (seen - held);
+      return held + SLOWNESS_SMOOTHING * (seen - held);
     });
   }
 }
@@ -128,9 +128,9 @@
 
 function weightsOf(
   cfg: PlacementSettings,
-  situation: Situation,
+  situation: PlacementInput,
   ranks: readonly RankReading[],
-): Weights {
+): PlacementWeights {
   const stepMs = Math.max(...ranks.map(rank => rank.stepMs), 1);
   const loads = load.rankLoads(
     situation.map.layers,
--- a/src/placement/policies.test.ts
+++ b/src/placement/policies.test.ts
@@ -1,9 +1,9 @@
 import * as fc from 'fast-check';
 import * as load from './load';
-import {GainOverCost, Rebuild} from './policies';
-import type {Situation, Weights} from './types';
+import {GreedyImprovement, Rebuild} from './policies';
+import type {PlacementInput, PlacementWeights} from './types';
 
-const WEIGHTS: Weights = {
+const WEIGHTS: PlacementWeights = {
   skew: 1,
   move: 25,
   horizonSteps: 4_000,
@@ -22,12 +22,12 @@
     }),
     slow: fc.double({min: 1, max: 2, noNaN: true}),
   })
-  .map(({ranks, perRank, layers, spare, heats, slow}): Situation => {
+  .map(({ranks, perRank, layers, spare, heats, slow}): PlacementInput => {
     const experts = ranks * perRank;
     const slowness = new Array<number>(ranks).fill(1);
     slowness[0] = slow;
     return {
-      map: {version: 1, layers: load.firstLayers(layers, experts, ranks)},
+      map: {version: 1, layers: load.roundRobinLayers(layers, experts, ranks)},
       demand: Array.from({length: layers}, (_, layer) =>
         Float64Array.from(
           {length: experts},
@@ -43,9 +43,11 @@
   it('keeps every expert held and no rank over its slots', () => {
     fc.assert(
       fc.property(situation, one => {
-        for (const policy of [new GainOverCost(), new Rebuild()]) {
+        for (const policy of [new GreedyImprovement(), new Rebuild()]) {
           const plan = policy.plan(one, WEIGHTS);
-          expect(plan === null || load.isSound(plan.layers, one)).toBe(true);
+          expect(plan === null || load.isValidPlacement(plan.layers, one)).toBe(
+            true,
+          );
         }
       }),
       {numRuns: 200, seed: 11},
@@ -55,7 +57,7 @@
   it('lists as moves just what a rank did not hold before', () => {
     fc.assert(
       fc.property(situation, one => {
-        const plan = new GainOverCost().plan(one, WEIGHTS);
+        const plan = new GreedyImprovement().plan(one, WEIGHTS);
         const moves = plan?.moves ?? [];
         for (const {layer, expert, to} of moves) {
           expect(one.map.layers[layer]![expert]).not.toContain(to);
@@ -69,11 +71,11 @@
   it('moves less, the dearer a move is', () => {
     fc.assert(
       fc.property(situation, one => {
-        const free = new GainOverCost().plan(one, {...WEIGHTS, move: 0});
-        const dear = new GainOverCost().plan(one, {...WEIGHTS, move: 1e9});
+        const free = new GreedyImprovement().plan(one, {...WEIGHTS, move: 0});
+        const dear = new GreedyImprovement().plan(one, {...WEIGHTS, move: 1e9});
         expect(dear).toBeNull();
-        expect(free?.skewAfter ?? 0).toBeLessThanOrEqual(
-          (free?.skewBefore ?? 0) + 1e-9,
+        expect(free?.skewAfterMs ?? 0).toBeLessThanOrEqual(
+          (free?.skewBeforeMs ?? 0) + 1e-9,
         );
       }),
       {numRuns: 100, seed: 13},
@@ -82,7 +84,7 @@
 
   it('finds the same plan in slices', async () => {
     const [one] = fc.sample(situation, {numRuns: 1, seed: 14});
-    const policy = new GainOverCost();
+    const policy = new GreedyImprovement();
     const whole = policy.plan(one!, WEIGHTS);
     expect(await policy.planInSlices(one!, WEIGHTS)).toEqual(whole);
   });
--- a/src/placement/policies.ts
+++ b/src/placement/policies.ts
@@ -11,7 +11,10 @@
 
 /** Places all experts anew, most wanted first, on the least loaded rank. */
 export class Rebuild extends types.PlacementPolicy {
-  plan(situation: types.Situation, weights: types.Weights): types.Plan | null {
+  plan(
+    situation: types.PlacementInput,
+    weights: types.PlacementWeights,
+  ): types.Plan | null {
     const {map, demand, slowness, slotsPerLayer} = situation;
     const total = new Float64Array(slowness.length);
     const layers = map.layers.map((experts, layer) =>
@@ -23,7 +26,7 @@
         total,
       ),
     );
-    return finishPlan(situation, weights, layers);
+    return buildPlan(situation, weights, layers);
   }
 }
 
@@ -101,11 +104,11 @@
 const MAX_ACTIONS = 512;
 
 /** Actions in a row that may leave the spread as it is. */
-const PATIENCE = 24;
+const MAX_ACTIONS_WITHOUT_GAIN = 24;
 /** Ranks next to the slowest and the fastest that are tried. */
-const PAIR_REACH = 12;
+const MAX_PAIRED_RANKS = 12;
 /** Longest time that the one loop is held by a search. */
-const SLICE_MS = 2;
+const MAX_SLICE_MS = 2;
 
 /** A change of one expert's, or two experts', places. */
 interface Action {
@@ -114,9 +117,9 @@
   readonly from: number;
   readonly to: number;
   /** The expert that goes the other way; -1: none. */
-  readonly back: number;
+  readonly swappedExpert: number;
   /** True: the expert stays on `from` too. */
-  readonly copies: boolean;
+  readonly isReplication: boolean;
 }
 
 /**
@@ -124,42 +127,52 @@
  * the slowest rank to the fastest, the best swap, move or replica at a time,
  * as long as the skew it saves over the horizon outweighs what it loads.
  */
-export class GainOverCost extends types.PlacementPolicy {
-  plan(situation: types.Situation, weights: types.Weights): types.Plan | null {
-    const board = new Board(situation, weights.msPerDemand);
-    const search = improve(board, weights);
+export class GreedyImprovement extends types.PlacementPolicy {
+  plan(
+    situation: types.PlacementInput,
+    weights: types.PlacementWeights,
+  ): types.Plan | null {
+    const board = new PlacementState(situation, weights.msPerDemand);
+    const search = applyBestActions(board, weights);
     while (!search.next().done) {
       // Every action is applied as it is found.
     }
-    return planOf(board, situation, weights);
+    return toPlan(board, situation, weights);
   }
 
   /** As `plan`, but gives the loop back to others every few milliseconds. */
   async planInSlices(
-    situation: types.Situation,
-    weights: types.Weights,
+    situation: types.PlacementInput,
+    weights: types.PlacementWeights,
     onSlice: (milliseconds: number) => void = () => undefined,
   ): Promise<types.Plan | null> {
-    const board = new Board(situation, weights.msPerDemand);
-    const search = improve(board, weights);
+    const board = new PlacementState(situation, weights.msPerDemand);
+    const search = applyBestActions(board, weights);
     let isDone = false;
     while (!isDone) {
       const begunAt = performance.now();
-      while (!isDone && performance.now() - begunAt < SLICE_MS) {
+      while (!isDone && performance.now() - begunAt < MAX_SLICE_MS) {
         isDone = search.next().done ?? false;
       }
       onSlice(performance.now() - begunAt);
       await new Promise(resolve => setImmediate(resolve));
     }
-    return planOf(board, situation, weights);
+    return toPlan(board, situation, weights);
   }
 }
 
 /** Applies one action at a time, until none pays or the spread stays. */
-function* improve(board: Board, weights: types.Weights): Generator<void> {
+function* applyBestActions(
+  board: PlacementState,
+  weights: types.PlacementWeights,
+): Generator<void> {
   let lowest = board.spread;
   let idle = 0;
-  for (let done = 0; done < MAX_ACTIONS && idle < PATIENCE; done += 1) {
+  for (
+    let done = 0;
+    done < MAX_ACTIONS && idle < MAX_ACTIONS_WITHOUT_GAIN;
+    done += 1
+  ) {
     const action = board.bestAction(weights);
     if (action === undefined) {
       return;
@@ -171,24 +184,24 @@
   }
 }
 
-function planOf(
-  board: Board,
-  situation: types.Situation,
-  weights: types.Weights,
+function toPlan(
+  board: PlacementState,
+  situation: types.PlacementInput,
+  weights: types.PlacementWeights,
 ): types.Plan | null {
-  const plan = finishPlan(situation, weights, board.layers);
+  const plan = buildPlan(situation, weights, board.layers);
   return plan.moves.length === 0 ? null : plan;
 }
 
 /** What is left of an action before its ranks are known. */
-type Rated = Omit<Action, 'from' | 'to'>;
+type Candidate = Omit<Action, 'from' | 'to'>;
 
 /** Keeps the best action of one search. */
-class Search {
-  best: Rated | undefined;
+class ActionSearch {
+  best: Candidate | undefined;
   /** Demand that should go from the slowest rank to the fastest. */
-  readonly wanted: number;
-  private bestWorth = 0;
+  readonly idealTransfer: number;
+  private bestWorthPerLoad = 0;
 
   constructor(
     private readonly slowFrom: number,
@@ -198,32 +211,33 @@
     private readonly unitWorth: number,
     private readonly price: number,
   ) {
-    this.wanted = gap / (slowFrom + slowTo);
+    this.idealTransfer = gap / (slowFrom + slowTo);
   }
 
   /** Rates an action by what leaves one rank and what the other gets. */
-  rate(
+  consider(
     layer: number,
     expert: number,
-    back: number,
-    copies: boolean,
-    less: number,
-    more: number,
-    loads: number,
+    swappedExpert: number,
+    isReplication: boolean,
+    removedDemand: number,
+    addedDemand: number,
+    loadedExperts: number,
   ): void {
     const gapAfter = Math.abs(
-      this.gap - less * this.slowFrom - more * this.slowTo,
+      this.gap - removedDemand * this.slowFrom - addedDemand * this.slowTo,
     );
-    const worth = (this.gap - gapAfter) * this.unitWorth - loads * this.price;
-    if (worth > 0 && worth / loads > this.bestWorth) {
-      this.best = {layer, expert, back, copies};
-      this.bestWorth = worth / loads;
+    const worth =
+      (this.gap - gapAfter) * this.unitWorth - loadedExperts * this.price;
+    if (worth > 0 && worth / loadedExperts > this.bestWorthPerLoad) {
+      this.best = {layer, expert, swappedExpert, isReplication};
+      this.bestWorthPerLoad = worth / loadedExperts;
     }
   }
 }
 
 /** Index of the first share that is not below the wanted one. */
-function nearestShare(
+function lowerBound(
   sorted: readonly {readonly share: number}[],
   wanted: number,
 ): number {
@@ -241,14 +255,14 @@
 }
 
 /** A map under change, with the loads that follow from it. */
-class Board {
+class PlacementState {
   readonly layers: number[][][];
   private readonly loads: Float64Array;
   /** By layer, by rank: the experts held. */
   private readonly held: number[][][];
 
   constructor(
-    private readonly situation: types.Situation,
+    private readonly situation: types.PlacementInput,
     private readonly msPerDemand: number,
   ) {
     const {map, demand, slowness} = situation;
@@ -272,11 +286,11 @@
    * The action with the best worth between the slowest rank and the fastest;
    * where none pays, between one of these and the next ones.
    */
-  bestAction(weights: types.Weights): Action | undefined {
+  bestAction(weights: types.PlacementWeights): Action | undefined {
     const order = [...this.loads.keys()].sort(
       (a, b) => this.loads[b]! - this.loads[a]!,
     );
-    const reach = Math.min(PAIR_REACH, order.length - 1);
+    const reach = Math.min(MAX_PAIRED_RANKS, order.length - 1);
     for (let off = 0; off < reach; off += 1) {
       const cold = order[order.length - 1 - off]!;
       const best =
@@ -292,9 +306,9 @@
   private bestBetween(
     hot: number,
     cold: number,
-    weights: types.Weights,
+    weights: types.PlacementWeights,
   ): Action | undefined {
-    const search = new Search(
+    const search = new ActionSearch(
       this.situation.slowness[hot]!,
       this.situation.slowness[cold]!,
       this.loads[hot]! - this.loads[cold]!,
@@ -310,23 +324,23 @@
   }
 
   apply(action: Action): void {
-    const {layer, expert, from, to, back, copies} = action;
-    this.take(layer, expert, -1);
-    if (!copies) {
-      this.drop(layer, expert, from);
+    const {layer, expert, from, to, swappedExpert, isReplication} = action;
+    this.adjustLoads(layer, expert, -1);
+    if (!isReplication) {
+      this.removeCopy(layer, expert, from);
     }
-    this.add(layer, expert, to);
-    this.take(layer, expert, 1);
-    if (back >= 0) {
-      this.take(layer, back, -1);
-      this.drop(layer, back, to);
-      this.add(layer, back, from);
-      this.take(layer, back, 1);
+    this.addCopy(layer, expert, to);
+    this.adjustLoads(layer, expert, 1);
+    if (swappedExpert >= 0) {
+      this.adjustLoads(layer, swappedExpert, -1);
+      this.removeCopy(layer, swappedExpert, to);
+      this.addCopy(layer, swappedExpert, from);
+      this.adjustLoads(layer, swappedExpert, 1);
     }
   }
 
   private searchLayer(
-    search: Search,
+    search: ActionSearch,
     layer: number,
     hot: number,
     cold: number,
@@ -335,45 +349,45 @@
     const theirs = this.held[layer]![cold]!;
     const experts = this.layers[layer]!;
     const hasRoom = theirs.length < this.situation.slotsPerLayer;
-    const spare = this.findSpare(layer, cold);
-    const evicted = spare === undefined ? 0 : this.shareOf(layer, spare);
+    const spare = this.findRedundant(layer, cold);
+    const evicted = spare === undefined ? 0 : this.demandPerCopy(layer, spare);
     const canEvict = spare !== undefined;
     const backs = theirs
       .filter(expert => !ours.includes(expert))
-      .map(expert => ({expert, share: this.shareOf(layer, expert)}))
+      .map(expert => ({expert, share: this.demandPerCopy(layer, expert)}))
       .sort((a, b) => a.share - b.share);
     for (const expert of ours) {
       if (theirs.includes(expert)) {
         continue;
       }
-      const share = this.shareOf(layer, expert);
+      const share = this.demandPerCopy(layer, expert);
       const copies = experts[expert]!.length;
       if (hasRoom) {
-        search.rate(layer, expert, -1, false, share, share, 1);
+        search.consider(layer, expert, -1, false, share, share, 1);
       }
       if (hasRoom || (canEvict && spare !== expert)) {
         const after = (share * copies) / (copies + 1);
         const more = hasRoom ? after : after - evicted;
-        search.rate(layer, expert, -1, true, share - after, more, 1);
+        search.consider(layer, expert, -1, true, share - after, more, 1);
       }
-      const near = nearestShare(backs, share - search.wanted);
+      const near = lowerBound(backs, share - search.idealTransfer);
       for (let at = near - 1; at <= near + 1; at += 1) {
         const back = backs[at];
         if (back !== undefined) {
           const less = share - back.share;
-          search.rate(layer, expert, back.expert, false, less, less, 2);
+          search.consider(layer, expert, back.expert, false, less, less, 2);
         }
       }
     }
   }
 
-  private shareOf(layer: number, expert: number): number {
+  private demandPerCopy(layer: number, expert: number): number {
     const asked = this.situation.demand[layer]![expert]!;
     return asked / this.layers[layer]![expert]!.length;
   }
 
   /** Adds an expert's share to, or takes it from, all its ranks. */
-  private take(layer: number, expert: number, sign: number): void {
+  private adjustLoads(layer: number, expert: number, sign: number): void {
     const ranks = this.layers[layer]![expert]!;
     const share = this.situation.demand[layer]![expert]! / ranks.length;
     for (const rank of ranks) {
@@ -382,32 +396,32 @@
     }
   }
 
-  private add(layer: number, expert: number, rank: number): void {
+  private addCopy(layer: number, expert: number, rank: number): void {
     const held = this.held[layer]![rank]!;
     if (held.length >= this.situation.slotsPerLayer) {
-      this.evictSpare(layer, rank);
+      this.evictRedundant(layer, rank);
     }
     this.layers[layer]![expert]!.push(rank);
     held.push(expert);
   }
 
   /** Drops the least wanted expert that has other copies. */
-  private evictSpare(layer: number, rank: number): void {
-    const spare = this.findSpare(layer, rank);
+  private evictRedundant(layer: number, rank: number): void {
+    const spare = this.findRedundant(layer, rank);
     if (spare !== undefined) {
-      this.take(layer, spare, -1);
-      this.drop(layer, spare, rank);
-      this.take(layer, spare, 1);
+      this.adjustLoads(layer, spare, -1);
+      this.removeCopy(layer, spare, rank);
+      this.adjustLoads(layer, spare, 1);
     }
   }
 
-  private findSpare(layer: number, rank: number): number | undefined {
+  private findRedundant(layer: number, rank: number): number | undefined {
     let best: number | undefined;
     for (const expert of this.held[layer]![rank]!) {
       const isSpare = this.layers[layer]![expert]!.length > 1;
       const isLess =
         best === undefined ||
-        this.shareOf(layer, expert) < this.shareOf(layer, best);
+        this.demandPerCopy(layer, expert) < this.demandPerCopy(layer, best);
       if (isSpare && isLess) {
         best = expert;
       }
@@ -415,7 +429,7 @@
     return best;
   }
 
-  private drop(layer: number, expert: number, rank: number): void {
+  private removeCopy(layer: number, expert: number, rank: number): void {
     const ranks = this.layers[layer]![expert]!;
     ranks.splice(ranks.indexOf(rank), 1);
     const held = this.held[layer]![rank]!;
@@ -423,9 +437,9 @@
   }
 }
 
-function finishPlan(
-  situation: types.Situation,
-  weights: types.Weights,
+function buildPlan(
+  situation: types.PlacementInput,
+  weights: types.PlacementWeights,
   layers: number[][][],
 ): types.Plan {
   const {map, demand, slowness} = situation;
@@ -434,7 +448,7 @@
   return {
     layers,
     moves: load.movesBetween(map.layers, layers),
-    skewBefore: load.spread(before) * weights.msPerDemand,
-    skewAfter: load.spread(after) * weights.msPerDemand,
+    skewBeforeMs: load.spread(before) * weights.msPerDemand,
+    skewAfterMs: load.spread(after) * weights.msPerDemand,
   };
 }
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -5,7 +5,7 @@
 export type Demand = readonly Float64Array[];
 
 /** What a placement is made for. */
-export interface Situation {
+export interface PlacementInput {
   readonly map: ExpertMap;
   readonly demand: Demand;
   /** By rank: time for one token relative to the others; 1 is normal. */
@@ -15,7 +15,7 @@
 }
 
 /** How a fleet weighs the two measures. */
-export interface Weights {
+export interface PlacementWeights {
   /** Worth of a millisecond of skew saved, per step. */
   readonly skew: number;
   /** Price of one expert loaded, in the same unit. */
@@ -39,12 +39,15 @@
   readonly layers: number[][][];
   readonly moves: readonly Move[];
   /** Skew before and after, by the demand, in milliseconds. */
-  readonly skewBefore: number;
-  readonly skewAfter: number;
+  readonly skewBeforeMs: number;
+  readonly skewAfterMs: number;
 }
 
 /** A way to place experts. */
 export abstract class PlacementPolicy {
   /** Null: the map in force stays. */
-  abstract plan(situation: Situation, weights: Weights): Plan | null;
+  abstract plan(
+    situation: PlacementInput,
+    weights: PlacementWeights,
+  ): Plan | null;
 }
--- a/src/platform/client.ts
+++ b/src/platform/client.ts
@@ -141,8 +141,8 @@
     path: string,
     timeoutMs: number,
     extra: Pick<httpClient.Call, 'body' | 'headers' | 'signal'> = {},
-  ): Promise<Result<httpClient.Answer, types.PlatformError>> {
-    const answer = await httpClient.fetchWhole(
+  ): Promise<Result<httpClient.HttpResponse, types.PlatformError>> {
+    const answer = await httpClient.fetchBuffered(
       this.agent,
       {address: this.address, method, path, timeoutMs, ...extra},
       MAX_LISTING_BYTES,
@@ -164,7 +164,7 @@
   return '/v1/objects/' + key.split('/').map(encodeURIComponent).join('/');
 }
 
-function readConflict(answer: httpClient.Answer): types.PlatformError {
+function readConflict(answer: httpClient.HttpResponse): types.PlatformError {
   const schema = v.object({current: v.nullable(types.objectSchema)});
   const parsed = parseAnswer(schema, answer);
   return parsed.ok
@@ -174,7 +174,7 @@
 
 function parseAnswer<T>(
   schema: v.GenericSchema<unknown, T>,
-  answer: httpClient.Answer,
+  answer: httpClient.HttpResponse,
 ): Result<T, types.PlatformError> {
   const json = body.parseJson(answer.body.toString('utf8'));
   if (!json.ok) {
--- a/src/requests/entry-chat.ts
+++ b/src/requests/entry-chat.ts
@@ -152,7 +152,12 @@
     await eventStream.writeErrorEvent(caller.res, error.ok ? error.value : {});
   }
   const wholeMs = Date.now() - caller.startedAt;
-  context.metrics.time('whole', caller.account.id, 'assistant', wholeMs);
+  context.metrics.recordDuration(
+    'whole',
+    caller.account.id,
+    'assistant',
+    wholeMs,
+  );
   context.metrics.count('answers_total', {kind: 'stream', end: end.kind});
   caller.res.end();
 }
@@ -223,7 +228,7 @@
     const now = Date.now();
     const isFirst = this.lastAt === 0;
     const since = isFirst ? this.caller.startedAt : this.lastAt;
-    this.context.metrics.time(
+    this.context.metrics.recordDuration(
       isFirst ? 'first_token' : 'between_tokens',
       this.caller.account.id,
       'assistant',
--- a/src/requests/entry-context.ts
+++ b/src/requests/entry-context.ts
@@ -66,7 +66,7 @@
     [refusals.REQUEST_HEADER]: caller.id,
     [headers.ACCOUNT_HEADER]: caller.account.id,
     [headers.TIMEOUT_HEADER]: String(Math.floor(remainingMs(caller))),
-    [rpcTypes.STAMP_HEADER]: context.follower.stampExchange.mine(),
+    [rpcTypes.STAMP_HEADER]: context.follower.stampExchange.ownStamp(),
     [rpcTypes.PEER_HEADER]: context.address(),
     ...(type === undefined ? {} : {'content-type': type}),
     ...(returnTo === undefined ? {} : {[headers.RETURN_HEADER]: returnTo}),
@@ -127,7 +127,7 @@
 ): void {
   caller.journalEntry.outcome = `${refusal.kind} (${refusal.outcome})`;
   caller.journalEntry.detail = refusal.detail;
-  context.metrics.refused(caller.account.id, refusal.kind);
+  context.metrics.countRefusal(caller.account.id, refusal.kind);
   context.log.event('requestRefused', {
     request: caller.id,
     account: caller.account.id,
@@ -151,10 +151,10 @@
     [refusals.REQUEST_HEADER]: caller.id,
     [refusals.OUTCOME_HEADER]: 'ran',
   });
-  const isWhole = await body.passBody(sent, caller.res);
+  const isWhole = await body.forwardBody(sent, caller.res);
   const end = isWhole ? 'done' : 'cut';
   caller.journalEntry.outcome = end;
   context.metrics.count('answers_total', {kind, end});
   const wholeMs = Date.now() - caller.startedAt;
-  context.metrics.time('whole', caller.account.id, kind, wholeMs);
+  context.metrics.recordDuration('whole', caller.account.id, kind, wholeMs);
 }
--- a/src/requests/entry-handler.ts
+++ b/src/requests/entry-handler.ts
@@ -306,7 +306,7 @@
     refusal: refusals.Refusal,
   ): void {
     this.context.log.event('badInput', {request: id, kind: refusal.kind});
-    this.context.metrics.refused('', refusal.kind);
+    this.context.metrics.countRefusal('', refusal.kind);
     // The rest of a body that is not wanted is not read either.
     res.setHeader('connection', 'close');
     refusals.sendRefusal(
--- a/src/requests/event-stream.ts
+++ b/src/requests/event-stream.ts
@@ -127,7 +127,7 @@
   id: string,
   data: string,
 ): Promise<void> {
-  await body.writePatiently(
+  await body.writeWithBackpressure(
     res,
     `id: ${id}\ndata: ${data.replaceAll('\n', '\ndata: ')}\n\n`,
   );
@@ -138,7 +138,7 @@
   res: http.ServerResponse,
   document: unknown,
 ): Promise<void> {
-  await body.writePatiently(
+  await body.writeWithBackpressure(
     res,
     `event: error\ndata: ${JSON.stringify(document)}\n\n`,
   );
--- a/src/requests/responses.ts
+++ b/src/requests/responses.ts
@@ -29,7 +29,7 @@
     ...contentHeaders(sent),
     ...sidecarHeaders(context, incoming),
   });
-  await body.passBody(sent, incoming.res);
+  await body.forwardBody(sent, incoming.res);
 }
 
 /** A sidecar's refusal, as the final answer. */
@@ -42,7 +42,7 @@
   if (!incoming.res.headersSent) {
     incoming.res.setHeader(targets.LOAD_HEADER, load);
   }
-  context.metrics.refused(incoming.account, refusal.kind);
+  context.metrics.countRefusal(incoming.account, refusal.kind);
   const returnTo = hasReservation(refusal) ? context.targetId : undefined;
   refusals.sendRefusal(
     incoming.res,
--- a/src/requests/sidecar-chat.ts
+++ b/src/requests/sidecar-chat.ts
@@ -63,7 +63,10 @@
       answers.refuse(this.context, incoming, ticket.error);
       return;
     }
-    this.context.metrics.queued(incoming.account, ticket.value.waitedMs);
+    this.context.metrics.recordQueueTime(
+      incoming.account,
+      ticket.value.waitedMs,
+    );
     const sent = await this.dispatch(incoming, read.value, signal);
     if (!sent.ok) {
       ticket.value.release();
@@ -307,7 +310,7 @@
 
   private async cancelAtEngine(name: string): Promise<void> {
     const limit = 64 * 1024;
-    await httpClient.fetchWhole(
+    await httpClient.fetchBuffered(
       this.context.agent,
       {
         address: this.context.targetAddress,
--- a/src/requests/sidecar-context.ts
+++ b/src/requests/sidecar-context.ts
@@ -100,8 +100,10 @@
   }
 }
 
-function readRetryAfter(res: http.IncomingMessage): retryAfter.RestAsked {
-  return retryAfter.readRest(res.statusCode ?? 0, res.headers);
+function readRetryAfter(
+  res: http.IncomingMessage,
+): retryAfter.RetryAfterHeader {
+  return retryAfter.parseRetryAfter(res.statusCode ?? 0, res.headers);
 }
 
 /**
--- a/src/roles/metrics-face.ts
+++ b/src/roles/metrics-face.ts
@@ -16,7 +16,7 @@
       res.writeHead(404).end();
       return;
     }
-    prometheus.printPage(metrics.samples()).then(
+    prometheus.formatMetrics(metrics.samples()).then(
       page => {
         res.writeHead(200, {'content-type': page.type});
         res.end(page.text);
--- a/src/roles/process-face.ts
+++ b/src/roles/process-face.ts
@@ -22,7 +22,7 @@
   const path = (req.url ?? '/').split('?')[0];
   switch (path) {
     case RPC_PATH:
-      await face.rpc.answer(req, res);
+      await face.rpc.handleRequest(req, res);
       return true;
     case '/healthz':
       body.sendJson(res, 200, {alive: true});
@@ -31,7 +31,7 @@
       body.sendJson(res, face.isReady() ? 200 : 503, {ready: face.isReady()});
       return true;
     case '/metrics': {
-      const page = await prometheus.printPage(face.metrics.samples());
+      const page = await prometheus.formatMetrics(face.metrics.samples());
       res.writeHead(200, {'content-type': page.type});
       res.end(page.text);
       return true;
--- a/src/roles/rpc-face.ts
+++ b/src/roles/rpc-face.ts
@@ -11,7 +11,7 @@
   log: Log,
 ): Promise<http.Server> {
   const server = http.createServer((req, res) => {
-    rpc.answer(req, res).catch(err => {
+    rpc.handleRequest(req, res).catch(err => {
       log.event('requestFault', {error: String((err as Error).stack)});
       res.destroy();
     });
--- a/src/roles/sidecar.ts
+++ b/src/roles/sidecar.ts
@@ -410,7 +410,10 @@
     if (stamp !== undefined) {
       await this.follower.catchUp(stamp, peer);
     }
-    res.setHeader(rpcTypes.STAMP_HEADER, this.follower.stampExchange.mine());
+    res.setHeader(
+      rpcTypes.STAMP_HEADER,
+      this.follower.stampExchange.ownStamp(),
+    );
     const incoming = this.readIncoming(req, res);
     const url = new URL(req.url ?? '/', 'http://sidecar');
     if (url.pathname.startsWith(assistant.STREAMS_PATH)) {
--- a/src/roles/site-follower.ts
+++ b/src/roles/site-follower.ts
@@ -182,7 +182,7 @@
    */
   isCutOff(now: number): boolean {
     return (
-      this.configuration.isLagging(now) &&
+      this.configuration.isStale(now) &&
       !this.book.isEmpty &&
       this.context.reach.silentMs(now) > CUT_OFF_MS
     );
@@ -190,7 +190,7 @@
 
   /** This instance was suspended: all that is believed is older by so much. */
   age(lostMs: number): void {
-    this.configuration.age(lostMs);
+    this.configuration.backdate(lostMs);
     this.copies.forEach(copy => copy.age(lostMs));
     this.context.reach.age(lostMs);
     this.limits.handleResume();
--- a/src/routes/current.test.ts
+++ b/src/routes/current.test.ts
@@ -10,7 +10,7 @@
     kind: 'safe',
     services: [{service: name, weight: 1}],
     timeoutMs: 800,
-    objectiveMs: 300,
+    latencyObjectiveMs: 300,
     pauseMs: 0,
     attempts: 2,
     priority: 1,
@@ -50,12 +50,12 @@
 
   it('counts its age from when the store was asked', () => {
     const current = new CurrentConfiguration();
-    expect(current.isLagging(0)).toBe(true);
+    expect(current.isStale(0)).toBe(true);
     current.confirm(1_000);
     current.confirm(400);
     expect(current.ageMs(1_500)).toBe(500);
-    expect(current.isLagging(3_500)).toBe(false);
-    expect(current.isLagging(3_700)).toBe(true);
+    expect(current.isStale(3_500)).toBe(false);
+    expect(current.isStale(3_700)).toBe(true);
   });
 });
 
--- a/src/routes/current.ts
+++ b/src/routes/current.ts
@@ -11,7 +11,7 @@
  * Milliseconds without the store. A watch waits up to 1.8 s, and a slow store
  * may take some hundred milliseconds more.
  */
-const LAGGING_MS = 2_600;
+const MAX_CONFIRMATION_AGE_MS = 2_600;
 
 export class CurrentConfiguration {
   /** Undefined until the first version is known. */
@@ -41,7 +41,7 @@
   }
 
   /** This instance was suspended: the last word is older by so much. */
-  age(lostMs: number): void {
+  backdate(lostMs: number): void {
     this.confirmedAt -= lostMs;
   }
 
@@ -49,8 +49,8 @@
    * True where the store was silent for so long that callers are better
    * served by another entry.
    */
-  isLagging(now: number): boolean {
-    return this.ageMs(now) > LAGGING_MS;
+  isStale(now: number): boolean {
+    return this.ageMs(now) > MAX_CONFIRMATION_AGE_MS;
   }
 
   /** Milliseconds since the store last confirmed the version held. */
--- a/src/routes/types.ts
+++ b/src/routes/types.ts
@@ -20,7 +20,7 @@
   /** Longest time that a request is held, in milliseconds. */
   readonly timeoutMs: number;
   /** Latency objective; of a stream up to its first event. */
-  readonly objectiveMs: number;
+  readonly latencyObjectiveMs: number;
   /** Longest pause between events that keeps a stream in time. */
   readonly pauseMs: number;
   /** Targets that one request may be sent to. */
@@ -34,7 +34,7 @@
 }
 
 /** Costs of an engine's steps, as its operator states them. */
-export interface EngineFigures {
+export interface EngineParameters {
   /** Requests in a batch. */
   readonly slots: number;
   readonly stepMs: number;
@@ -48,13 +48,13 @@
   /** Steps in a pass while something is generating. */
   readonly stride: number;
   /** Mean tokens of a prompt and of an answer. */
-  readonly usualPrompt: number;
-  readonly usualAnswer: number;
-  readonly experts: ExpertFigures | undefined;
+  readonly meanPromptTokens: number;
+  readonly meanAnswerTokens: number;
+  readonly experts: ExpertParameters | undefined;
 }
 
 /** How experts lie on the ranks of an engine's group. */
-export interface ExpertFigures {
+export interface ExpertParameters {
   /** Sets of layers that share a placement. */
   readonly sets: number;
   /** Experts in each set. */
@@ -75,7 +75,7 @@
   readonly name: string;
   /** Connections that one of its targets accepts from all callers. */
   readonly connectionLimit: number;
-  readonly engine: EngineFigures | undefined;
+  readonly engine: EngineParameters | undefined;
 }
 
 export interface ClientAccount {
--- a/src/rpc/client.ts
+++ b/src/rpc/client.ts
@@ -10,7 +10,7 @@
 
 const DEFAULT_TIMEOUT_MS = 2_000;
 
-class CallFailed extends Error {
+class RpcCallError extends Error {
   constructor(readonly failure: types.RpcError) {
     super(failure.kind);
   }
@@ -40,7 +40,7 @@
       const raw: unknown = await client.request(method.name, params);
       return parseResult(method, raw);
     } catch (err) {
-      return fail(readFailure(err));
+      return fail(toRpcError(err));
     }
   }
 
@@ -55,7 +55,7 @@
     signal: AbortSignal | undefined,
   ): Promise<JSONRPCResponse> {
     const coded = coding.encode(request);
-    const answer = await httpClient.fetchWhole(
+    const answer = await httpClient.fetchBuffered(
       this.agent,
       {
         address,
@@ -63,7 +63,7 @@
         path: types.RPC_PATH,
         headers: {
           ...coded.headers,
-          [types.STAMP_HEADER]: this.stamps.mine(),
+          [types.STAMP_HEADER]: this.stamps.ownStamp(),
           [types.PEER_HEADER]: this.ownAddress(),
         },
         body: coded.bytes,
@@ -73,11 +73,11 @@
       types.MAX_RPC_BYTES,
     );
     if (!answer.ok) {
-      throw new CallFailed({kind: 'unreachable', sent: answer.error.sent});
+      throw new RpcCallError({kind: 'unreachable', sent: answer.error.sent});
     }
     const stamp = answer.value.headers[types.STAMP_HEADER];
     if (typeof stamp === 'string' && stamp !== '') {
-      this.stamps.seen(stamp, address);
+      this.stamps.onPeerStamp(stamp, address);
     }
     const {headers} = answer.value;
     const parsed = coding.decode(
@@ -86,7 +86,7 @@
     );
     if (!parsed.ok || answer.value.status !== 200) {
       const detail = `status ${answer.value.status}`;
-      throw new CallFailed({kind: 'bad-result', detail});
+      throw new RpcCallError({kind: 'bad-result', detail});
     }
     return parsed.value as JSONRPCResponse;
   }
@@ -104,8 +104,8 @@
   return fail({kind: 'bad-result', detail});
 }
 
-function readFailure(err: unknown): types.RpcError {
-  if (err instanceof CallFailed) {
+function toRpcError(err: unknown): types.RpcError {
+  if (err instanceof RpcCallError) {
     return err.failure;
   }
   if (err instanceof JSONRPCErrorException) {
--- a/src/rpc/coding.test.ts
+++ b/src/rpc/coding.test.ts
@@ -3,7 +3,7 @@
 import * as coding from './coding';
 import {MAX_RPC_BYTES} from './types';
 
-function codingOf(coded: coding.CodedBody): string | undefined {
+function codingOf(coded: coding.EncodedBody): string | undefined {
   return coded.headers['content-encoding'];
 }
 
--- a/src/rpc/coding.ts
+++ b/src/rpc/coding.ts
@@ -11,27 +11,27 @@
  * Shorter texts go as they are, in bytes: deflating them costs more than the link
  * gains.
  */
-const LEAST_BYTES = 1_024;
+const MIN_DEFLATED_BYTES = 1_024;
 /** Most of the gain at the least processor time. */
-const LEVEL = 1;
+const DEFLATE_LEVEL = 1;
 /** Source: RFC 9110, section 8.4.1; without the zlib wrapper. */
-const CODING = 'deflate';
+const CONTENT_CODING = 'deflate';
 
 /** A body and the headers that say how to read it. */
-export interface CodedBody {
+export interface EncodedBody {
   readonly bytes: Buffer;
   readonly headers: Readonly<Record<string, string>>;
 }
 
 /** A document as the body of a call or of its answer. */
-export function encode(document: unknown): CodedBody {
+export function encode(document: unknown): EncodedBody {
   const text = Buffer.from(JSON.stringify(document));
   const headers = {'content-type': 'application/json'};
-  return text.length < LEAST_BYTES
+  return text.length < MIN_DEFLATED_BYTES
     ? {bytes: text, headers}
     : {
-        bytes: zlib.deflateRawSync(text, {level: LEVEL}),
-        headers: {...headers, 'content-encoding': CODING},
+        bytes: zlib.deflateRawSync(text, {level: DEFLATE_LEVEL}),
+        headers: {...headers, 'content-encoding': CONTENT_CODING},
       };
 }
 
@@ -40,7 +40,7 @@
   bytes: Buffer,
   coding: string | undefined,
 ): Result<unknown, body.BodyError> {
-  if (coding !== CODING) {
+  if (coding !== CONTENT_CODING) {
     return body.parseJson(bytes.toString('utf8'));
   }
   try {
--- a/src/rpc/server.ts
+++ b/src/rpc/server.ts
@@ -44,14 +44,14 @@
   }
 
   /** Answers one HTTP request to `/rpc`. */
-  async answer(
+  async handleRequest(
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
     const peer = {address: body.headerOf(req, types.PEER_HEADER) ?? ''};
     const stamp = body.headerOf(req, types.STAMP_HEADER);
     if (stamp) {
-      this.stamps.seen(stamp, peer.address);
+      this.stamps.onPeerStamp(stamp, peer.address);
     }
     const bytes = await body.readBody(req, types.MAX_RPC_BYTES);
     const read = bytes.ok
@@ -69,7 +69,7 @@
       res.writeHead(200, {
         ...coded.headers,
         'content-length': coded.bytes.length,
-        [types.STAMP_HEADER]: this.stamps.mine(),
+        [types.STAMP_HEADER]: this.stamps.ownStamp(),
       });
       res.end(coded.bytes);
     }
--- a/src/rpc/types.ts
+++ b/src/rpc/types.ts
@@ -37,13 +37,13 @@
 /** What calls between processes tell about configuration on the way. */
 export interface StampExchange {
   /** This process's stamp. */
-  mine(): string;
+  ownStamp(): string;
   /** Called with each stamp that a peer sent; empty address: unknown. */
-  seen(stamp: string, address: string): void;
+  onPeerStamp(stamp: string, address: string): void;
 }
 
 /** Exchange of a process that holds no configuration. */
 export const NO_STAMPS: StampExchange = {
-  mine: () => '',
-  seen: () => undefined,
+  ownStamp: () => '',
+  onPeerStamp: () => undefined,
 };
--- a/src/targets/probe.ts
+++ b/src/targets/probe.ts
@@ -53,7 +53,7 @@
     if (this.cooldown.isActive(performance.now())) {
       return undefined;
     }
-    const answer = await httpClient.fetchWhole(
+    const answer = await httpClient.fetchBuffered(
       this.agent,
       {
         address: this.address,
@@ -86,9 +86,11 @@
     this.timer = setTimeout(() => void this.poll(), PROBE_INTERVAL_MS);
   }
 
-  private applyRetryAfter(answer: Result<httpClient.Answer, unknown>): void {
+  private applyRetryAfter(
+    answer: Result<httpClient.HttpResponse, unknown>,
+  ): void {
     const rest = answer.ok
-      ? retryAfter.readRest(answer.value.status, answer.value.headers)
+      ? retryAfter.parseRetryAfter(answer.value.status, answer.value.headers)
       : undefined;
     if (rest?.kind === 'rest') {
       this.cooldown.start(rest.ms, performance.now());
--- a/src/targets/rate-limit-tracker.ts
+++ b/src/targets/rate-limit-tracker.ts
@@ -7,7 +7,7 @@
  * are processes. Pure over a clock reading.
  */
 import * as bounded from '../bounded';
-import type {LimitNamed} from '../http/server-limit';
+import type {RateLimitHeader} from '../http/server-limit';
 import * as limitWords from './rate-limit';
 import type {RateLimit} from './rate-limit';
 import {PERMIT_TTL_MS} from './permit-issuer';
@@ -58,7 +58,7 @@
    */
   applyAdvertised(
     lifetime: string,
-    named: LimitNamed,
+    named: RateLimitHeader,
     sentAt: number,
     now: number,
   ): LimitChange | undefined {
