--- a/src/placement/demand.ts
+++ b/src/placement/demand.ts
@@ -1,4 +1,6 @@
-/** Demand for experts, from the ranks' counters, decayed over time. */
+/**
+ * Demand for experts as an exponentially decayed rate of the ranks' counters.
+ */
 import type {Demand} from './types';
 
 const SECOND_MS = 1_000;
@@ -8,19 +10,23 @@
   private lastAt = 0;
   private rates: Float64Array[] = [];
 
-  /** `halfLifeMs`: age at which a reading counts for half. */
+  /** `halfLifeMs`: age at which a reading's weight is halved. */
   constructor(private readonly halfLifeMs: number) {}
 
-  /** True once there are two readings to compare. */
+  /** True once two readings have been compared. */
   get isKnown(): boolean {
     return this.rates.length > 0;
   }
 
+  /** Tokens per second by layer and expert. */
   get demand(): Demand {
     return this.rates;
   }
 
-  /** Notes a reading of counters that only grow while an engine lives. */
+  /**
+   * Records a reading at `now`, in milliseconds. The counters only grow until an
+   * engine restarts; the reading after a restart yields no rate.
+   */
   record(counts: readonly (readonly number[])[], now: number): void {
     const before = this.lastCounts;
     const elapsedMs = now - this.lastAt;
@@ -37,15 +43,15 @@
       this.rates.length === 0 ? 0 : 0.5 ** (elapsedMs / this.halfLifeMs);
     this.rates = counts.map((layer, at) =>
       Float64Array.from(layer, (count, expert) => {
-        const grown = count - (before[at]?.[expert] ?? 0);
-        const rate = (grown / elapsedMs) * SECOND_MS;
+        const increase = count - (before[at]?.[expert] ?? 0);
+        const rate = (increase / elapsedMs) * SECOND_MS;
         return keep * (this.rates[at]?.[expert] ?? 0) + (1 - keep) * rate;
       }),
     );
   }
 }
 
-/** Counters that have shrunk come from a rank that started again. */
+/** True if a counter has shrunk, which means that a rank has restarted. */
 function hasCounterReset(
   before: readonly (readonly number[])[],
   after: readonly (readonly number[])[],
@@ -55,7 +61,7 @@
   );
 }
 
-/** Adds up the counters of all ranks. */
+/** Sums the counters of all ranks by layer and expert. */
 export function sumCounts(
   ranks: readonly (readonly (readonly number[])[])[],
 ): number[][] {
--- a/src/placement/load.ts
+++ b/src/placement/load.ts
@@ -1,7 +1,7 @@
-/** Loads of ranks under a map. */
+/** Loads of the ranks under an expert map, and comparison of maps. */
 import type {Demand, Move, PlacementInput} from './types';
 
-/** By rank: demand served, times the rank's slowness. */
+/** By rank: the demand it serves times its slowness. */
 export function rankLoads(
   layers: readonly (readonly (readonly number[])[])[],
   demand: Demand,
@@ -9,9 +9,9 @@
 ): Float64Array {
   const loads = new Float64Array(slowness.length);
   for (const [layer, experts] of layers.entries()) {
-    const asked = demand[layer]!;
+    const layerDemand = demand[layer]!;
     for (const [expert, ranks] of experts.entries()) {
-      const share = asked[expert]! / ranks.length;
+      const share = layerDemand[expert]! / ranks.length;
       for (const rank of ranks) {
         loads[rank] = loads[rank]! + share * slowness[rank]!;
       }
@@ -20,12 +20,12 @@
   return loads;
 }
 
-/** Highest minus lowest. */
+/** Highest load minus lowest. */
 export function spread(loads: Float64Array): number {
   return Math.max(...loads) - Math.min(...loads);
 }
 
-/** What has to be loaded to come from one map to another. */
+/** The experts that ranks must load to change from one map to another. */
 export function movesBetween(
   before: readonly (readonly (readonly number[])[])[],
   after: readonly (readonly (readonly number[])[])[],
@@ -43,7 +43,7 @@
   return moves;
 }
 
-/** The map that a group starts with: experts in turn, no replicas. */
+/** The initial map of a group: experts assigned round-robin, no replicas. */
 export function roundRobinLayers(
   layers: number,
   experts: number,
@@ -54,21 +54,24 @@
   );
 }
 
-/** True where every expert is held and no rank holds too many. */
+/**
+ * True if every expert has at least one copy, at most one per rank, and no rank
+ * exceeds its slots in a layer.
+ */
 export function isValidPlacement(
   layers: readonly (readonly (readonly number[])[])[],
-  situation: Pick<PlacementInput, 'slowness' | 'slotsPerLayer'>,
+  input: Pick<PlacementInput, 'slowness' | 'slotsPerLayer'>,
 ): boolean {
   return layers.every(experts => {
-    const held = new Array<number>(situation.slowness.length).fill(0);
+    const heldCounts = new Array<number>(input.slowness.length).fill(0);
     for (const ranks of experts) {
       if (ranks.length === 0 || new Set(ranks).size !== ranks.length) {
         return false;
       }
       ranks.forEach(rank => {
-        held[rank] = (held[rank] ?? 0) + 1;
+        heldCounts[rank] = (heldCounts[rank] ?? 0) + 1;
       });
     }
-    return held.every(count => count <= situation.slotsPerLayer);
+    return heldCounts.every(count => count <= input.slotsPerLayer);
   });
 }
--- a/src/placement/planner.ts
+++ b/src/placement/planner.ts
@@ -1,8 +1,8 @@
 /**
- * The planner of a group, in the sidecar of its lowest rank: reads demand
- * from all ranks, decides whether a move pays, and proposes the new map.
- * It keeps nothing that another planner would miss: demand is learnt anew
- * within two periods, and the map in force is the ranks' own.
+ * Plans the expert placement of a group in the sidecar of its lowest rank: reads
+ * demand from all ranks, decides whether moves are worth their cost and proposes
+ * a new map. The state is not persisted: a new planner measures demand again
+ * within two periods, and the ranks hold the map in force.
  */
 import type {ExpertMap} from '../groups/types';
 import type {PlacementSettings} from '../configuration/types';
@@ -12,32 +12,35 @@
 import {GreedyImprovement} from './policies';
 import type {Move, PlacementInput, PlacementWeights} from './types';
 
-/** What one rank tells of its work. */
+/** Work counters and step times reported by one rank. */
 export interface RankReading {
+  /** Tokens processed, by layer and expert, since the engine started. */
   readonly counts: readonly (readonly number[])[];
-  /** Time of the rank's own share of a step. */
+  /** Milliseconds of the rank's own work in a step. */
   readonly rankMs: number;
   readonly stepMs: number;
 }
 
-/** What the planner needs of the group. */
+/** The group operations that the planner depends on. */
 export abstract class PlannedGroup {
-  /** False while another sidecar should plan. */
+  /** True if this sidecar is the one to plan. */
   abstract isPlanner(): boolean;
-  /** All ranks' readings in order; undefined where one is silent. */
+  /** Readings of all ranks, by rank; undefined if any rank did not answer. */
   abstract readRanks(): Promise<readonly RankReading[] | undefined>;
-  /** The map in force as this sidecar knows it. */
+  /** The map in force; undefined if it is not known. */
   abstract currentMap(): ExpertMap | undefined;
-  /** True where the group took the map. */
+  /** Proposes a map; true if the group adopted it. */
   abstract propose(
     layers: number[][][],
     moves: readonly Move[],
   ): Promise<boolean>;
 }
 
-/** Spare slots of a rank in a layer, beside its share of the experts. */
+/** Slots per rank and layer beyond an even share of the experts. */
 const SPARE_SLOTS = 1;
+/** Half-life of demand, in planning periods. */
 const HALF_LIFE_PERIODS = 2;
+/** Weight of the newest measurement in the smoothed slowness of a rank. */
 const SLOWNESS_SMOOTHING = 0.2;
 
 export class Planner {
@@ -62,7 +65,10 @@
     clearTimeout(this.timer);
   }
 
-  /** Looks once; true where a new map was taken. */
+  /**
+   * Runs one planning round at `now`, in milliseconds. True if the group adopted
+   * a new map.
+   */
   async planOnce(now: number): Promise<boolean> {
     const cfg = this.settings();
     if (cfg === undefined || !this.group.isPlanner()) {
@@ -79,9 +85,9 @@
     if (!this.demand.isKnown) {
       return false;
     }
-    const situation = this.buildInput(map, ranks);
-    const weights = weightsOf(cfg, situation, ranks);
-    const plan = await this.policy.planInSlices(situation, weights);
+    const input = this.buildInput(map, ranks);
+    const weights = weightsOf(cfg, input, ranks);
+    const plan = await this.policy.planInSlices(input, weights);
     return plan === null ? false : this.group.propose(plan.layers, plan.moves);
   }
 
@@ -97,8 +103,8 @@
     ranks: readonly RankReading[],
   ): PlacementInput {
     const demand = this.demand!.demand;
-    const even = new Array<number>(ranks.length).fill(1);
-    const expected = load.rankLoads(map.layers, demand, even);
+    const uniform = new Array<number>(ranks.length).fill(1);
+    const expected = load.rankLoads(map.layers, demand, uniform);
     this.updateSlowness(ranks, expected);
     const experts = map.layers[0]?.length ?? 0;
     return {
@@ -109,17 +115,20 @@
     };
   }
 
-  /** A rank that takes longer for its load than the others is slow. */
+  /**
+   * Compares each rank's time per unit of load with the median of all ranks and
+   * smooths the ratio.
+   */
   private updateSlowness(
     ranks: readonly RankReading[],
     expected: Float64Array,
   ): void {
     const perLoad = ranks.map((rank, at) => rank.rankMs / (expected[at]! || 1));
-    const typical = [...perLoad].sort((a, b) => a - b)[ranks.length >> 1] ?? 1;
-    this.slowness = perLoad.map((own, at) => {
-      const seen = typical > 0 ? own / typical : 1;
-      const held = this.slowness[at] ?? 1;
-      return held + SLOWNESS_SMOOTHING * (seen - held);
+    const median = [...perLoad].sort((a, b) => a - b)[ranks.length >> 1] ?? 1;
+    this.slowness = perLoad.map((perUnit, at) => {
+      const measured = median > 0 ? perUnit / median : 1;
+      const previous = this.slowness[at] ?? 1;
+      return previous + SLOWNESS_SMOOTHING * (measured - previous);
     });
   }
 }
@@ -128,15 +137,11 @@
 
 function weightsOf(
   cfg: PlacementSettings,
-  situation: PlacementInput,
+  input: PlacementInput,
   ranks: readonly RankReading[],
 ): PlacementWeights {
   const stepMs = Math.max(...ranks.map(rank => rank.stepMs), 1);
-  const loads = load.rankLoads(
-    situation.map.layers,
-    situation.demand,
-    situation.slowness,
-  );
+  const loads = load.rankLoads(input.map.layers, input.demand, input.slowness);
   const heaviest = Math.max(...loads, 1);
   const slowest = Math.max(...ranks.map(rank => rank.rankMs), 0);
   return {
--- a/src/placement/policies.test.ts
+++ b/src/placement/policies.test.ts
@@ -10,28 +10,28 @@
   msPerDemand: 0.001,
 };
 
-const situation = fc
+const inputs = fc
   .record({
     ranks: fc.integer({min: 2, max: 8}),
     perRank: fc.integer({min: 1, max: 6}),
     layers: fc.integer({min: 1, max: 3}),
     spare: fc.integer({min: 0, max: 2}),
-    heats: fc.array(fc.double({min: 0, max: 900, noNaN: true}), {
+    demands: fc.array(fc.double({min: 0, max: 900, noNaN: true}), {
       minLength: 16,
       maxLength: 64,
     }),
-    slow: fc.double({min: 1, max: 2, noNaN: true}),
+    slowFactor: fc.double({min: 1, max: 2, noNaN: true}),
   })
-  .map(({ranks, perRank, layers, spare, heats, slow}): PlacementInput => {
+  .map(({ranks, perRank, layers, spare, demands, slowFactor}): PlacementInput => {
     const experts = ranks * perRank;
     const slowness = new Array<number>(ranks).fill(1);
-    slowness[0] = slow;
+    slowness[0] = slowFactor;
     return {
       map: {version: 1, layers: load.roundRobinLayers(layers, experts, ranks)},
       demand: Array.from({length: layers}, (_, layer) =>
         Float64Array.from(
           {length: experts},
-          (__, expert) => heats[(layer * 7 + expert) % heats.length]!,
+          (__, expert) => demands[(layer * 7 + expert) % demands.length]!,
         ),
       ),
       slowness,
@@ -40,27 +40,27 @@
   });
 
 describe('placing experts', () => {
-  it('keeps every expert held and no rank over its slots', () => {
+  it('gives every expert a copy and no rank more than its slots', () => {
     fc.assert(
-      fc.property(situation, one => {
+      fc.property(inputs, input => {
         for (const policy of [new GreedyImprovement(), new Rebuild()]) {
-          const plan = policy.plan(one, WEIGHTS);
-          expect(plan === null || load.isValidPlacement(plan.layers, one)).toBe(
-            true,
-          );
+          const plan = policy.plan(input, WEIGHTS);
+          expect(
+            plan === null || load.isValidPlacement(plan.layers, input),
+          ).toBe(true);
         }
       }),
       {numRuns: 200, seed: 11},
     );
   });
 
-  it('lists as moves just what a rank did not hold before', () => {
+  it('lists as moves only experts that the rank did not hold before', () => {
     fc.assert(
-      fc.property(situation, one => {
-        const plan = new GreedyImprovement().plan(one, WEIGHTS);
+      fc.property(inputs, input => {
+        const plan = new GreedyImprovement().plan(input, WEIGHTS);
         const moves = plan?.moves ?? [];
         for (const {layer, expert, to} of moves) {
-          expect(one.map.layers[layer]![expert]).not.toContain(to);
+          expect(input.map.layers[layer]![expert]).not.toContain(to);
           expect(plan!.layers[layer]![expert]).toContain(to);
         }
       }),
@@ -68,12 +68,15 @@
     );
   });
 
-  it('moves less, the dearer a move is', () => {
+  it('moves nothing if moves cost too much; free moves never add skew', () => {
     fc.assert(
-      fc.property(situation, one => {
-        const free = new GreedyImprovement().plan(one, {...WEIGHTS, move: 0});
-        const dear = new GreedyImprovement().plan(one, {...WEIGHTS, move: 1e9});
-        expect(dear).toBeNull();
+      fc.property(inputs, input => {
+        const free = new GreedyImprovement().plan(input, {...WEIGHTS, move: 0});
+        const costly = new GreedyImprovement().plan(input, {
+          ...WEIGHTS,
+          move: 1e9,
+        });
+        expect(costly).toBeNull();
         expect(free?.skewAfterMs ?? 0).toBeLessThanOrEqual(
           (free?.skewBeforeMs ?? 0) + 1e-9,
         );
@@ -82,10 +85,10 @@
     );
   });
 
-  it('finds the same plan in slices', async () => {
-    const [one] = fc.sample(situation, {numRuns: 1, seed: 14});
+  it('finds the same plan when planning in slices', async () => {
+    const [input] = fc.sample(inputs, {numRuns: 1, seed: 14});
     const policy = new GreedyImprovement();
-    const whole = policy.plan(one!, WEIGHTS);
-    expect(await policy.planInSlices(one!, WEIGHTS)).toEqual(whole);
+    const whole = policy.plan(input!, WEIGHTS);
+    expect(await policy.planInSlices(input!, WEIGHTS)).toEqual(whole);
   });
 });
--- a/src/placement/policies.ts
+++ b/src/placement/policies.ts
@@ -1,21 +1,23 @@
-/** The ways to place experts: ours, and the plain ones to beat. */
+/**
+ * Placement policies. `GreedyImprovement` is the one that the planner runs;
+ * `NeverMove` and `Rebuild` are baselines for comparison.
+ */
 import * as load from './load';
 import * as types from './types';
 
-/** Never moves an expert. */
 export class NeverMove extends types.PlacementPolicy {
   plan(): null {
     return null;
   }
 }
 
-/** Places all experts anew, most wanted first, on the least loaded rank. */
+/** Places every expert from scratch, each on the least loaded rank. */
 export class Rebuild extends types.PlacementPolicy {
   plan(
-    situation: types.PlacementInput,
+    input: types.PlacementInput,
     weights: types.PlacementWeights,
   ): types.Plan | null {
-    const {map, demand, slowness, slotsPerLayer} = situation;
+    const {map, demand, slowness, slotsPerLayer} = input;
     const total = new Float64Array(slowness.length);
     const layers = map.layers.map((experts, layer) =>
       placeLayer(
@@ -26,26 +28,29 @@
         total,
       ),
     );
-    return buildPlan(situation, weights, layers);
+    return buildPlan(input, weights, layers);
   }
 }
 
-/** Fills a layer, longest first, with replicas while there is room. */
+/**
+ * Places one layer by descending demand per copy; spare slots hold replicas.
+ * Adds the placed loads to `total`.
+ */
 function placeLayer(
-  asked: Float64Array,
+  demand: Float64Array,
   experts: number,
   slowness: readonly number[],
   slots: number,
   total: Float64Array,
 ): number[][] {
-  const replicas = countReplicas(asked, experts, slowness.length, slots);
+  const replicas = countReplicas(demand, experts, slowness.length, slots);
   const free = new Array<number>(slowness.length).fill(slots);
   const placed: number[][] = Array.from({length: experts}, () => []);
   const order = [...replicas.keys()].sort(
-    (a, b) => asked[b]! / replicas[b]! - asked[a]! / replicas[a]!,
+    (a, b) => demand[b]! / replicas[b]! - demand[a]! / replicas[a]!,
   );
   for (const expert of order) {
-    const share = asked[expert]! / replicas[expert]!;
+    const share = demand[expert]! / replicas[expert]!;
     for (let copy = 0; copy < replicas[expert]!; copy += 1) {
       const rank = leastLoaded(total, free, placed[expert]!);
       if (rank === undefined) {
@@ -59,9 +64,9 @@
   return placed;
 }
 
-/** Spare slots go to the experts with the most demand per copy. */
+/** Gives spare slots to the experts with the most demand per copy. */
 function countReplicas(
-  asked: Float64Array,
+  demand: Float64Array,
   experts: number,
   ranks: number,
   slots: number,
@@ -72,7 +77,7 @@
     for (let expert = 0; expert < experts; expert += 1) {
       const isBetter =
         best < 0 ||
-        asked[expert]! / replicas[expert]! > asked[best]! / replicas[best]!;
+        demand[expert]! / replicas[expert]! > demand[best]! / replicas[best]!;
       if (replicas[expert]! < ranks && isBetter) {
         best = expert;
       }
@@ -100,121 +105,129 @@
   return best;
 }
 
-/** Steps of a search that no plan exceeds. */
+/** Actions in one plan. */
 const MAX_ACTIONS = 512;
-
-/** Actions in a row that may leave the spread as it is. */
+/** Consecutive actions that may leave the spread unchanged. */
 const MAX_ACTIONS_WITHOUT_GAIN = 24;
-/** Ranks next to the slowest and the fastest that are tried. */
+/** Ranks tried as partners of the most and of the least loaded rank. */
 const MAX_PAIRED_RANKS = 12;
-/** Longest time that the one loop is held by a search. */
+/** Milliseconds after which a search yields to the event loop. */
 const MAX_SLICE_MS = 2;
 
-/** A change of one expert's, or two experts', places. */
+/** A move, a replication or a swap of experts between two ranks. */
 interface Action {
   readonly layer: number;
   readonly expert: number;
   readonly from: number;
   readonly to: number;
-  /** The expert that goes the other way; -1: none. */
+  /** Expert that moves from `to` to `from` in exchange; -1: none. */
   readonly swappedExpert: number;
-  /** True: the expert stays on `from` too. */
+  /** True if the expert also stays on `from`. */
   readonly isReplication: boolean;
 }
 
 /**
- * Changes the map in force by the moves that are worth their price: from
- * the slowest rank to the fastest, the best swap, move or replica at a time,
- * as long as the skew it saves over the horizon outweighs what it loads.
+ * Improves the map in force greedily: applies the best swap, move or
+ * replication between a heavily and a lightly loaded rank, as long as the skew
+ * it saves over the horizon outweighs the cost of loading the experts.
  */
 export class GreedyImprovement extends types.PlacementPolicy {
   plan(
-    situation: types.PlacementInput,
+    input: types.PlacementInput,
     weights: types.PlacementWeights,
   ): types.Plan | null {
-    const board = new PlacementState(situation, weights.msPerDemand);
-    const search = applyBestActions(board, weights);
-    while (!search.next().done) {
-      // Every action is applied as it is found.
+    const state = new PlacementState(input, weights.msPerDemand);
+    const steps = applyBestActions(state, weights);
+    while (!steps.next().done) {
+      // The generator applies each action itself.
     }
-    return toPlan(board, situation, weights);
+    return toPlan(state, input, weights);
   }
 
-  /** As `plan`, but gives the loop back to others every few milliseconds. */
+  /**
+   * Same as `plan`, but yields to the event loop between slices. `onSlice` gets
+   * the duration of each slice.
+   */
   async planInSlices(
-    situation: types.PlacementInput,
+    input: types.PlacementInput,
     weights: types.PlacementWeights,
     onSlice: (milliseconds: number) => void = () => undefined,
   ): Promise<types.Plan | null> {
-    const board = new PlacementState(situation, weights.msPerDemand);
-    const search = applyBestActions(board, weights);
+    const state = new PlacementState(input, weights.msPerDemand);
+    const steps = applyBestActions(state, weights);
     let isDone = false;
     while (!isDone) {
-      const begunAt = performance.now();
-      while (!isDone && performance.now() - begunAt < MAX_SLICE_MS) {
-        isDone = search.next().done ?? false;
+      const startedAt = performance.now();
+      while (!isDone && performance.now() - startedAt < MAX_SLICE_MS) {
+        isDone = steps.next().done ?? false;
       }
-      onSlice(performance.now() - begunAt);
+      onSlice(performance.now() - startedAt);
       await new Promise(resolve => setImmediate(resolve));
     }
-    return toPlan(board, situation, weights);
+    return toPlan(state, input, weights);
   }
 }
 
-/** Applies one action at a time, until none pays or the spread stays. */
+/**
+ * Applies one action per iteration, until none is worth its cost or the spread
+ * stops shrinking.
+ */
 function* applyBestActions(
-  board: PlacementState,
+  state: PlacementState,
   weights: types.PlacementWeights,
 ): Generator<void> {
-  let lowest = board.spread;
-  let idle = 0;
+  let lowest = state.spread;
+  let withoutGain = 0;
   for (
     let done = 0;
-    done < MAX_ACTIONS && idle < MAX_ACTIONS_WITHOUT_GAIN;
+    done < MAX_ACTIONS && withoutGain < MAX_ACTIONS_WITHOUT_GAIN;
     done += 1
   ) {
-    const action = board.bestAction(weights);
+    const action = state.bestAction(weights);
     if (action === undefined) {
       return;
     }
-    board.apply(action);
-    idle = board.spread < lowest ? 0 : idle + 1;
-    lowest = Math.min(lowest, board.spread);
+    state.apply(action);
+    withoutGain = state.spread < lowest ? 0 : withoutGain + 1;
+    lowest = Math.min(lowest, state.spread);
     yield;
   }
 }
 
 function toPlan(
-  board: PlacementState,
-  situation: types.PlacementInput,
+  state: PlacementState,
+  input: types.PlacementInput,
   weights: types.PlacementWeights,
 ): types.Plan | null {
-  const plan = buildPlan(situation, weights, board.layers);
+  const plan = buildPlan(input, weights, state.layers);
   return plan.moves.length === 0 ? null : plan;
 }
 
-/** What is left of an action before its ranks are known. */
+/** An action without its ranks, which are fixed for one search. */
 type Candidate = Omit<Action, 'from' | 'to'>;
 
-/** Keeps the best action of one search. */
+/** Finds the action between two ranks with the most worth per expert loaded. */
 class ActionSearch {
   best: Candidate | undefined;
-  /** Demand that should go from the slowest rank to the fastest. */
+  /** Demand whose transfer would level the two ranks. */
   readonly idealTransfer: number;
   private bestWorthPerLoad = 0;
 
   constructor(
-    private readonly slowFrom: number,
-    private readonly slowTo: number,
+    private readonly fromSlowness: number,
+    private readonly toSlowness: number,
     private readonly gap: number,
-    /** Worth of one unit of load saved. */
-    private readonly unitWorth: number,
-    private readonly price: number,
+    /** Worth of reducing the gap by one unit of load. */
+    private readonly worthPerLoad: number,
+    private readonly costPerExpert: number,
   ) {
-    this.idealTransfer = gap / (slowFrom + slowTo);
+    this.idealTransfer = gap / (fromSlowness + toSlowness);
   }
 
-  /** Rates an action by what leaves one rank and what the other gets. */
+  /**
+   * Keeps the action if it is the best so far. `removedDemand` leaves the first
+   * rank, `addedDemand` comes to the second.
+   */
   consider(
     layer: number,
     expert: number,
@@ -225,10 +238,13 @@
     loadedExperts: number,
   ): void {
     const gapAfter = Math.abs(
-      this.gap - removedDemand * this.slowFrom - addedDemand * this.slowTo,
+      this.gap -
+        removedDemand * this.fromSlowness -
+        addedDemand * this.toSlowness,
     );
     const worth =
-      (this.gap - gapAfter) * this.unitWorth - loadedExperts * this.price;
+      (this.gap - gapAfter) * this.worthPerLoad -
+      loadedExperts * this.costPerExpert;
     if (worth > 0 && worth / loadedExperts > this.bestWorthPerLoad) {
       this.best = {layer, expert, swappedExpert, isReplication};
       this.bestWorthPerLoad = worth / loadedExperts;
@@ -236,7 +252,7 @@
   }
 }
 
-/** Index of the first share that is not below the wanted one. */
+/** Index of the first element whose share is not below `wanted`. */
 function lowerBound(
   sorted: readonly {readonly share: number}[],
   wanted: number,
@@ -254,7 +270,7 @@
   return low;
 }
 
-/** A map under change, with the loads that follow from it. */
+/** A map under change, and the loads of its ranks. */
 class PlacementState {
   readonly layers: number[][][];
   private readonly loads: Float64Array;
@@ -262,10 +278,10 @@
   private readonly held: number[][][];
 
   constructor(
-    private readonly situation: types.PlacementInput,
+    private readonly input: types.PlacementInput,
     private readonly msPerDemand: number,
   ) {
-    const {map, demand, slowness} = situation;
+    const {map, demand, slowness} = input;
     this.layers = map.layers.map(layer => layer.map(ranks => [...ranks]));
     this.loads = load.rankLoads(this.layers, demand, slowness);
     this.held = this.layers.map(experts => {
@@ -283,19 +299,19 @@
   }
 
   /**
-   * The action with the best worth between the slowest rank and the fastest;
-   * where none pays, between one of these and the next ones.
+   * The best action between the most and the least loaded rank; if none is
+   * worth its cost, between one of these and the ranks next in order.
    */
   bestAction(weights: types.PlacementWeights): Action | undefined {
     const order = [...this.loads.keys()].sort(
       (a, b) => this.loads[b]! - this.loads[a]!,
     );
-    const reach = Math.min(MAX_PAIRED_RANKS, order.length - 1);
-    for (let off = 0; off < reach; off += 1) {
-      const cold = order[order.length - 1 - off]!;
+    const tried = Math.min(MAX_PAIRED_RANKS, order.length - 1);
+    for (let offset = 0; offset < tried; offset += 1) {
+      const to = order[order.length - 1 - offset]!;
       const best =
-        this.bestBetween(order[0]!, cold, weights) ??
-        this.bestBetween(order[off]!, order[order.length - 1]!, weights);
+        this.bestBetween(order[0]!, to, weights) ??
+        this.bestBetween(order[offset]!, order[order.length - 1]!, weights);
       if (best !== undefined) {
         return best;
       }
@@ -304,23 +320,21 @@
   }
 
   private bestBetween(
-    hot: number,
-    cold: number,
+    from: number,
+    to: number,
     weights: types.PlacementWeights,
   ): Action | undefined {
     const search = new ActionSearch(
-      this.situation.slowness[hot]!,
-      this.situation.slowness[cold]!,
-      this.loads[hot]! - this.loads[cold]!,
+      this.input.slowness[from]!,
+      this.input.slowness[to]!,
+      this.loads[from]! - this.loads[to]!,
       this.msPerDemand * weights.horizonSteps * weights.skew,
       weights.move,
     );
     for (let layer = 0; layer < this.layers.length; layer += 1) {
-      this.searchLayer(search, layer, hot, cold);
+      this.searchLayer(search, layer, from, to);
     }
-    return search.best === undefined
-      ? undefined
-      : {...search.best, from: hot, to: cold};
+    return search.best === undefined ? undefined : {...search.best, from, to};
   }
 
   apply(action: Action): void {
@@ -342,22 +356,23 @@
   private searchLayer(
     search: ActionSearch,
     layer: number,
-    hot: number,
-    cold: number,
+    from: number,
+    to: number,
   ): void {
-    const ours = this.held[layer]![hot]!;
-    const theirs = this.held[layer]![cold]!;
+    const fromExperts = this.held[layer]![from]!;
+    const toExperts = this.held[layer]![to]!;
     const experts = this.layers[layer]!;
-    const hasRoom = theirs.length < this.situation.slotsPerLayer;
-    const spare = this.findRedundant(layer, cold);
-    const evicted = spare === undefined ? 0 : this.demandPerCopy(layer, spare);
-    const canEvict = spare !== undefined;
-    const backs = theirs
-      .filter(expert => !ours.includes(expert))
+    const hasRoom = toExperts.length < this.input.slotsPerLayer;
+    const redundant = this.findRedundant(layer, to);
+    const evictedDemand =
+      redundant === undefined ? 0 : this.demandPerCopy(layer, redundant);
+    const canEvict = redundant !== undefined;
+    const swapCandidates = toExperts
+      .filter(expert => !fromExperts.includes(expert))
       .map(expert => ({expert, share: this.demandPerCopy(layer, expert)}))
       .sort((a, b) => a.share - b.share);
-    for (const expert of ours) {
-      if (theirs.includes(expert)) {
+    for (const expert of fromExperts) {
+      if (toExperts.includes(expert)) {
         continue;
       }
       const share = this.demandPerCopy(layer, expert);
@@ -365,64 +380,72 @@
       if (hasRoom) {
         search.consider(layer, expert, -1, false, share, share, 1);
       }
-      if (hasRoom || (canEvict && spare !== expert)) {
+      if (hasRoom || (canEvict && redundant !== expert)) {
         const after = (share * copies) / (copies + 1);
-        const more = hasRoom ? after : after - evicted;
-        search.consider(layer, expert, -1, true, share - after, more, 1);
+        const added = hasRoom ? after : after - evictedDemand;
+        search.consider(layer, expert, -1, true, share - after, added, 1);
       }
-      const near = lowerBound(backs, share - search.idealTransfer);
+      const near = lowerBound(swapCandidates, share - search.idealTransfer);
       for (let at = near - 1; at <= near + 1; at += 1) {
-        const back = backs[at];
-        if (back !== undefined) {
-          const less = share - back.share;
-          search.consider(layer, expert, back.expert, false, less, less, 2);
+        const candidate = swapCandidates[at];
+        if (candidate !== undefined) {
+          const transfer = share - candidate.share;
+          search.consider(
+            layer,
+            expert,
+            candidate.expert,
+            false,
+            transfer,
+            transfer,
+            2,
+          );
         }
       }
     }
   }
 
   private demandPerCopy(layer: number, expert: number): number {
-    const asked = this.situation.demand[layer]![expert]!;
-    return asked / this.layers[layer]![expert]!.length;
+    const demand = this.input.demand[layer]![expert]!;
+    return demand / this.layers[layer]![expert]!.length;
   }
 
-  /** Adds an expert's share to, or takes it from, all its ranks. */
+  /** Adds an expert's load to all its ranks (sign 1) or subtracts it (-1). */
   private adjustLoads(layer: number, expert: number, sign: number): void {
     const ranks = this.layers[layer]![expert]!;
-    const share = this.situation.demand[layer]![expert]! / ranks.length;
+    const share = this.input.demand[layer]![expert]! / ranks.length;
     for (const rank of ranks) {
       this.loads[rank] =
-        this.loads[rank]! + sign * share * this.situation.slowness[rank]!;
+        this.loads[rank]! + sign * share * this.input.slowness[rank]!;
     }
   }
 
   private addCopy(layer: number, expert: number, rank: number): void {
     const held = this.held[layer]![rank]!;
-    if (held.length >= this.situation.slotsPerLayer) {
+    if (held.length >= this.input.slotsPerLayer) {
       this.evictRedundant(layer, rank);
     }
     this.layers[layer]![expert]!.push(rank);
     held.push(expert);
   }
 
-  /** Drops the least wanted expert that has other copies. */
+  /** Removes the expert with the least demand among those with other copies. */
   private evictRedundant(layer: number, rank: number): void {
-    const spare = this.findRedundant(layer, rank);
-    if (spare !== undefined) {
-      this.adjustLoads(layer, spare, -1);
-      this.removeCopy(layer, spare, rank);
-      this.adjustLoads(layer, spare, 1);
+    const redundant = this.findRedundant(layer, rank);
+    if (redundant !== undefined) {
+      this.adjustLoads(layer, redundant, -1);
+      this.removeCopy(layer, redundant, rank);
+      this.adjustLoads(layer, redundant, 1);
     }
   }
 
   private findRedundant(layer: number, rank: number): number | undefined {
     let best: number | undefined;
     for (const expert of this.held[layer]![rank]!) {
-      const isSpare = this.layers[layer]![expert]!.length > 1;
+      const isRedundant = this.layers[layer]![expert]!.length > 1;
       const isLess =
         best === undefined ||
         this.demandPerCopy(layer, expert) < this.demandPerCopy(layer, best);
-      if (isSpare && isLess) {
+      if (isRedundant && isLess) {
         best = expert;
       }
     }
@@ -438,11 +461,11 @@
 }
 
 function buildPlan(
-  situation: types.PlacementInput,
+  input: types.PlacementInput,
   weights: types.PlacementWeights,
   layers: number[][][],
 ): types.Plan {
-  const {map, demand, slowness} = situation;
+  const {map, demand, slowness} = input;
   const before = load.rankLoads(map.layers, demand, slowness);
   const after = load.rankLoads(layers, demand, slowness);
   return {
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -1,51 +1,50 @@
-/** Where experts sit, what is asked of them, and what a move costs. */
+/** Inputs and results of expert placement. */
 import type {ExpertMap} from '../groups/types';
 
-/** Tokens a second by layer and expert, decayed. */
+/** Tokens per second by layer and expert, exponentially decayed. */
 export type Demand = readonly Float64Array[];
 
-/** What a placement is made for. */
+/** The state of a group that a placement is planned for. */
 export interface PlacementInput {
   readonly map: ExpertMap;
   readonly demand: Demand;
-  /** By rank: time for one token relative to the others; 1 is normal. */
+  /** By rank: time per token relative to the median rank, which is 1. */
   readonly slowness: readonly number[];
   /** Experts that a rank can hold in one layer. */
   readonly slotsPerLayer: number;
 }
 
-/** How a fleet weighs the two measures. */
+/** Weights of the skew saved against the experts moved. */
 export interface PlacementWeights {
-  /** Worth of a millisecond of skew saved, per step. */
+  /** Worth of each millisecond of skew saved in a step. */
   readonly skew: number;
-  /** Price of one expert loaded, in the same unit. */
+  /** Cost of loading one expert, in the same unit. */
   readonly move: number;
-  /** Steps over which a gain is counted. */
+  /** Steps over which saved skew is counted. */
   readonly horizonSteps: number;
-  /** Milliseconds that one token a second adds to a rank's step. */
+  /** Milliseconds that one token per second adds to a rank's step. */
   readonly msPerDemand: number;
 }
 
-/** One expert that a rank has to load. */
+/** An expert that rank `to` must load. */
 export interface Move {
   readonly layer: number;
   readonly expert: number;
   readonly to: number;
 }
 
-/** A map to change to, and what has to be loaded for it. */
+/** A new map and the experts that must be loaded for it. */
 export interface Plan {
   /** By layer, by expert: the ranks that hold it. */
   readonly layers: number[][][];
   readonly moves: readonly Move[];
-  /** Skew before and after, by the demand, in milliseconds. */
+  /** Skew per step that the demand predicts for the old and the new map. */
   readonly skewBeforeMs: number;
   readonly skewAfterMs: number;
 }
 
-/** A way to place experts. */
 export abstract class PlacementPolicy {
-  /** Null: the map in force stays. */
+  /** Returns null if the map in force should stay. */
   abstract plan(
     situation: PlacementInput,
     weights: PlacementWeights,
