--- a/src/placement/policies.ts
+++ b/src/placement/policies.ts
@@ -320,21 +320,23 @@
   }
 
   private bestBetween(
-    from: number,
-    to: number,
+    fromRank: number,
+    toRank: number,
     weights: types.PlacementWeights,
   ): Action | undefined {
     const search = new ActionSearch(
-      this.input.slowness[from]!,
-      this.input.slowness[to]!,
-      this.loads[from]! - this.loads[to]!,
+      this.input.slowness[fromRank]!,
+      this.input.slowness[toRank]!,
+      this.loads[fromRank]! - this.loads[toRank]!,
       this.msPerDemand * weights.horizonSteps * weights.skew,
       weights.move,
     );
     for (let layer = 0; layer < this.layers.length; layer += 1) {
-      this.searchLayer(search, layer, from, to);
+      this.searchLayer(search, layer, fromRank, toRank);
     }
-    return search.best === undefined ? undefined : {...search.best, from, to};
+    return search.best === undefined
+      ? undefined
+      : {...search.best, from: fromRank, to: toRank};
   }
 
   apply(action: Action): void {
