--- a/src/http/address.ts
+++ b/src/http/address.ts
@@ -1,10 +1,12 @@
-/** IP addresses with a port: the only way processes name each other. */
+/**
+ * Addresses of processes: an IP address and a port. Host names are not accepted.
+ */
 import * as net from 'node:net';
 import * as v from 'valibot';
 
 const MAX_PORT = 65535;
 
-/** True for `127.0.0.1:8080` and `[::1]:8080`; names are not addresses. */
+/** True for `127.0.0.1:8080` and `[::1]:8080`, false for a host name. */
 export function isAddress(text: string): boolean {
   const split = splitAddress(text);
   return (
@@ -15,7 +17,7 @@
   );
 }
 
-/** Host and port of an address; the port is NaN where it is missing. */
+/** Host and port of an address; the port is NaN if missing or malformed. */
 export function splitAddress(text: string): {host: string; port: number} {
   const colon = text.lastIndexOf(':');
   const host = text.slice(0, Math.max(colon, 0)).replace(/^\[|\]$/g, '');
@@ -24,12 +26,11 @@
   return {host, port};
 }
 
-/** Joins what `splitAddress` parts. */
+/** Joins host and port; IPv6 hosts are bracketed. */
 export function joinAddress(host: string, port: number): string {
   return net.isIPv6(host) ? `[${host}]:${port}` : `${host}:${port}`;
 }
 
-/** An IP address with a port. */
 export const addressSchema = v.pipe(
   v.string(),
   v.check(isAddress, 'an IP address with a port, such as 127.0.0.1:8080'),
--- a/src/http/body.ts
+++ b/src/http/body.ts
@@ -1,17 +1,17 @@
-/** Reading and writing whole HTTP bodies under a size cap. */
+/** Reading, parsing, sending and forwarding HTTP bodies. */
 import * as http from 'node:http';
 import type {Readable} from 'node:stream';
 import {pipeline} from 'node:stream/promises';
 import {Result, fail, ok} from '../result';
 import * as resets from './resets';
 
-/** Why a body was not read. */
+/** Why a body could not be read. `body-cut`: it ended early. */
 export type BodyError =
   | {readonly kind: 'body-too-large'; readonly limitBytes: number}
   | {readonly kind: 'body-cut'}
   | {readonly kind: 'bad-json'; readonly detail: string};
 
-/** Reads a body to its end. Fails with `body-too-large` or `body-cut`. */
+/** Reads a body of at most `limitBytes`. Fails with `body-too-large` or `body-cut`. */
 export function readBody(
   stream: Readable,
   limitBytes: number,
@@ -37,7 +37,7 @@
         stream instanceof http.IncomingMessage && !resets.isComplete(stream);
       resolve(isCut ? fail({kind: 'body-cut'}) : ok(Buffer.concat(chunks)));
     });
-    // Either comes without an end where the peer goes away early.
+    // If the peer disconnects early, these events come without `end`.
     stream.on('error', () => resolve(fail({kind: 'body-cut'})));
     stream.on('close', () => resolve(fail({kind: 'body-cut'})));
   });
@@ -45,7 +45,7 @@
 
 const EMPTY_BODY = Buffer.alloc(0);
 
-/** A request that names no length and no coding has no body. */
+/** A request without content-length and transfer-encoding has no body. */
 function hasNoBody(message: http.IncomingMessage): boolean {
   return (
     message.method !== undefined &&
@@ -55,7 +55,7 @@
   );
 }
 
-/** Parses a JSON text. Fails with `bad-json`. */
+/** Fails with `bad-json`. */
 export function parseJson(text: string): Result<unknown, BodyError> {
   try {
     return ok(JSON.parse(text) as unknown);
@@ -73,7 +73,7 @@
   return body.ok ? parseJson(body.value.toString('utf8')) : body;
 }
 
-/** Answers with a JSON document. */
+/** Sends a JSON response, unless headers are sent or the response is destroyed. */
 export function sendJson(
   res: http.ServerResponse,
   status: number,
@@ -92,7 +92,7 @@
   res.end(body);
 }
 
-/** A header's first value. */
+/** The first value of a header; `name` is in lower case. */
 export function headerOf(
   message: http.IncomingMessage,
   name: string,
@@ -101,12 +101,12 @@
   return Array.isArray(value) ? value[0] : value;
 }
 
-/** Bodies up to this size are passed on in one piece. */
+/** Bodies up to this size are forwarded in one write. */
 const MAX_BUFFERED_BYTES = 64 * 1024;
 
 /**
- * Passes an answer's body on with backpressure. True where it came whole; a
- * body that breaks off breaks off for the receiver too.
+ * Forwards a response body with backpressure. True if it was complete; if it was
+ * cut short, the receiver's connection is destroyed.
  */
 export async function forwardBody(
   from: http.IncomingMessage,
@@ -123,7 +123,7 @@
     return false;
   }
   try {
-    // The end is ours to give: it would tell the receiver that all has come.
+    // Ending `to` marks the body as complete, so that waits for the check below.
     await pipeline(from, to, {end: false});
   } catch {
     to.destroy();
@@ -137,7 +137,7 @@
   return true;
 }
 
-/** Writes; resolves when the peer can take more, or is gone. */
+/** Writes; resolves when the response can take more data or is closed. */
 export async function writeWithBackpressure(
   res: http.ServerResponse,
   data: string | Buffer,
--- a/src/http/client.test.ts
+++ b/src/http/client.test.ts
@@ -7,19 +7,11 @@
 const CALL = {method: 'GET', path: '/', timeoutMs: 2_000};
 
 /**
- * Callers were sent half of a receipt as a whole one: 200, the target's
- * signature, a length that fitted the half. Their target had sent a head that
- * names no length, a part of the body, and had then broken off with a reset.
- * Cause: the bytes and the reset lie before the reader together; libuv reports
- * such a reset as a plain end, and an answer without a length is whole at the
- * end of its connection. Evidence: on a played day in which targets break off
- * half of such answers, 127 callers were told so by an entry that doesn't ask
- * for the peer of an ended connection, and none by one that does. The check
- * stood at the platform's exchange alone; every other reader of an answer
- * passed halves on, and a request with a key kept its half to be repeated.
+ * Guards against a response without a length being taken as complete when its
+ * connection is reset, which libuv may report as a plain end.
  */
-describe('an answer without a length whose connection is reset', () => {
-  /** What the peer does once its part of the body is out. */
+describe('a response without a length', () => {
+  /** What the peer does after it has sent a part of the body. */
   type End = 'reset-at-once' | 'reset-later' | 'end';
 
   let peer: net.Server;
@@ -53,54 +45,63 @@
 
   afterAll(() => agent.destroy());
 
-  /** What a receiver sees of the answer behind a process that passes it on. */
-  async function passOn(): Promise<{isWhole: boolean; told: boolean}> {
-    let isWhole = false;
+  /** Fetches the response through a relay that forwards its body. */
+  async function fetchThroughRelay(): Promise<{
+    isForwarded: boolean;
+    isReceived: boolean;
+  }> {
+    let isForwarded = false;
     const relay = await httpServer.listen(
       '127.0.0.1:0',
       async (_req, res) => {
         const sent = await httpClient.send(agent, {...CALL, address});
         if (sent.ok) {
           res.writeHead(200);
-          isWhole = await body.forwardBody(sent.value, res);
+          isForwarded = await body.forwardBody(sent.value, res);
         }
       },
       () => undefined,
     );
-    const got = await httpClient.fetchBuffered(
+    const received = await httpClient.fetchBuffered(
       agent,
       {...CALL, address: relay.address},
       LIMIT_BYTES,
     );
     await relay.close();
-    return {isWhole, told: got.ok};
+    return {isForwarded, isReceived: received.ok};
   }
 
-  it('is whole for nobody, whether read or passed on', async () => {
-    for (const how of ['reset-at-once', 'reset-later'] as const) {
-      end = how;
-      const answer = await httpClient.fetchBuffered(
+  it('is incomplete if its connection is reset, whether read or forwarded', async () => {
+    for (const kind of ['reset-at-once', 'reset-later'] as const) {
+      end = kind;
+      const response = await httpClient.fetchBuffered(
         agent,
         {...CALL, address},
         LIMIT_BYTES,
       );
-      expect([how, answer]).toEqual([
-        how,
+      expect([kind, response]).toEqual([
+        kind,
         {ok: false, error: {kind: 'connection-lost', sent: true}},
       ]);
-      const passedOn = await passOn();
-      expect([how, passedOn]).toEqual([how, {isWhole: false, told: false}]);
+      const forwarded = await fetchThroughRelay();
+      expect([kind, forwarded]).toEqual([
+        kind,
+        {isForwarded: false, isReceived: false},
+      ]);
     }
   });
 
-  it('is whole where its connection ends as it should', async () => {
+  it('is complete if its connection ends normally', async () => {
     end = 'end';
-    const answer = await httpClient.fetchBuffered(
+    const response = await httpClient.fetchBuffered(
       agent,
       {...CALL, address},
       LIMIT_BYTES,
     );
-    expect(answer).toMatchObject({ok: true, value: {status: 200}});
-    expect(await passOn()).toEqual({isWhole: true, told: true});
+    expect(response).toMatchObject({ok: true, value: {status: 200}});
+    expect(await fetchThroughRelay()).toEqual({
+      isForwarded: true,
+      isReceived: true,
+    });
   });
 });
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,4 +1,4 @@
-/** Requests to other processes over kept-alive connections. */
+/** HTTP requests to other processes over keep-alive connections. */
 import * as http from 'node:http';
 import {Result, fail, ok} from '../result';
 import {splitAddress} from './address';
@@ -9,8 +9,8 @@
 const MAX_IDLE_SOCKETS = 64;
 
 /**
- * Why a call got no answer. `sent` says whether a byte of the request may
- * have left: only where it is false is it certain that the peer saw nothing.
+ * Why a call got no response. `sent` is true if the peer may have received any
+ * part of the request, false if it certainly received nothing.
  */
 export type CallError =
   | {readonly kind: 'no-connection'; readonly sent: false}
@@ -23,17 +23,17 @@
   readonly address: string;
   readonly method: string;
   readonly path: string;
-  /** By name, or names and values by turns, which keeps their spelling. */
+  /** By name, or as a flat list of names and values, which keeps their case. */
   readonly headers?: http.OutgoingHttpHeaders | readonly string[];
   readonly body?: Buffer | string;
-  /** Milliseconds until the head of the answer. */
+  /** Milliseconds until the response headers must have arrived. */
   readonly timeoutMs: number;
-  /** Milliseconds until a new connection is up; one second by default. */
+  /** Milliseconds until a connection must be open; 1,000 by default. */
   readonly connectTimeoutMs?: number;
   readonly signal?: AbortSignal;
 }
 
-/** Makes an agent; whoever makes it destroys it. */
+/** Makes a keep-alive agent; the caller must destroy it. */
 export function makeAgent(): http.Agent {
   return new http.Agent({
     keepAlive: true,
@@ -42,7 +42,7 @@
   });
 }
 
-/** Sends a request; resolves with the head of the answer. */
+/** Sends a request; resolves once the response headers have arrived. */
 export function send(
   agent: http.Agent,
   call: Call,
@@ -119,7 +119,7 @@
     if (length !== undefined) {
       raw.push('Content-Length', String(length));
     }
-    // Node takes a flat list too; its type does not say so.
+    // Node accepts a flat list, but its type does not declare it.
     return raw as unknown as http.OutgoingHttpHeaders;
   }
   const headers: http.OutgoingHttpHeaders = {...call.headers};
@@ -133,14 +133,17 @@
   return Array.isArray(headers);
 }
 
-/** A whole answer. */
+/** A response with its complete body. */
 export interface HttpResponse {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: Buffer;
 }
 
-/** Sends a request and reads the whole answer under a cap and a time. */
+/**
+ * Sends a request and reads the response body, up to `limitBytes`. `timeoutMs`
+ * applies to the headers and to the body separately.
+ */
 export async function fetchBuffered(
   agent: http.Agent,
   call: Call,
--- a/src/http/decimal.ts
+++ b/src/http/decimal.ts
@@ -1,17 +1,16 @@
-/** Numbers that targets name in headers of their answers. */
+/** Decimal numbers in headers of target responses. */
 
-/** Fractions included; a sign, an exponent or a date is none. */
+/** Digits with an optional fraction; no sign and no exponent. */
 const DECIMAL = /^(\d+\.?\d*|\.\d+)$/;
-/** Longest part of a text that can't be read that is kept, in characters. */
 const MAX_KEPT_CHARACTERS = 40;
 
-/** Something that is no number, or none that anybody means. */
+/** A header value that is not a number or not a plausible one, truncated. */
 export interface UnparsableText {
   readonly kind: 'unread';
   readonly text: string;
 }
 
-/** Undefined where the text is no decimal number. */
+/** Returns undefined if the text is not a decimal number. */
 export function parseDecimal(text: string): number | undefined {
   return DECIMAL.test(text) ? Number(text) : undefined;
 }
--- a/src/http/resets.ts
+++ b/src/http/resets.ts
@@ -1,11 +1,10 @@
 /**
- * Tells whether the connection of an answer was reset. Node takes a body
- * without a length for whole when its connection ends, also by a reset; and
- * where the last bytes and the reset are read together, libuv reports a plain
- * end instead of the error. A socket that was reset has no peer any more.
+ * Detects responses whose connection was reset. Node treats a body without a
+ * length as complete when its connection ends, and libuv reports a reset that is
+ * read together with the last bytes as a plain end. A socket that was reset has
+ * no remote address any more.
  *
- * Every answer is watched from its head on, before anything reads it, so that
- * no reader can take a half for a whole.
+ * Responses must be watched from their headers on, before the body is read.
  */
 import type * as http from 'node:http';
 import type * as net from 'node:net';
@@ -14,39 +13,39 @@
   wasReset: boolean;
 }
 
-/** One watch a connection, however many answers come over it. */
+/** One state per connection, shared by all its responses. */
 const stateBySocket = new WeakMap<net.Socket, ResetState>();
-/** An answer may outlive its hold on the connection. */
+/** A response may outlive its use of the connection. */
 const stateByResponse = new WeakMap<http.IncomingMessage, ResetState>();
 
-/** Watches an answer's connection; to be called as its head comes. */
+/** Watches the connection of a response whose headers have just arrived. */
 export function watch(res: http.IncomingMessage): void {
   const {socket} = res;
-  let held = stateBySocket.get(socket);
-  if (held === undefined) {
-    held = {wasReset: false};
-    stateBySocket.set(socket, held);
-    detectReset(socket, held);
+  let state = stateBySocket.get(socket);
+  if (state === undefined) {
+    state = {wasReset: false};
+    stateBySocket.set(socket, state);
+    detectReset(socket, state);
   }
-  stateByResponse.set(res, held);
+  stateByResponse.set(res, state);
 }
 
-/** True where the connection of a watched answer was reset so far. */
+/** True if the connection of a watched response has been reset. */
 export function wasReset(message: http.IncomingMessage): boolean {
   return stateByResponse.get(message)?.wasReset ?? false;
 }
 
-/** True where a message came to its end, and the end is that of its sender. */
+/** True if a message ended and its connection was not reset. */
 export function isComplete(message: http.IncomingMessage): boolean {
   return message.complete && !wasReset(message);
 }
 
-function detectReset(socket: net.Socket, held: ResetState): void {
+function detectReset(socket: net.Socket, state: ResetState): void {
   socket.once('error', () => {
-    held.wasReset = true;
+    state.wasReset = true;
   });
-  // Before Node's own listener, which closes our side too.
+  // Must run before Node's own listener, which closes our side as well.
   socket.prependOnceListener('end', () => {
-    held.wasReset ||= socket.remoteAddress === undefined;
+    state.wasReset ||= socket.remoteAddress === undefined;
   });
 }
--- a/src/http/retry-after.test.ts
+++ b/src/http/retry-after.test.ts
@@ -11,7 +11,7 @@
   );
 }
 
-describe('what an answer asks for', () => {
+describe('Retry-After header', () => {
   it.each([
     ['3', 3_000],
     ['0.25', 250],
@@ -21,7 +21,7 @@
     ['0003', 3_000],
     ['86400', MAX_RETRY_AFTER_MS],
     ['9'.repeat(400), MAX_RETRY_AFTER_MS],
-  ])('is rest: %s', (text, ms) => {
+  ])('is parsed as a delay: %s', (text, ms) => {
     expect(read(503, text)).toEqual({kind: 'rest', ms});
     expect(read(429, text)).toEqual({kind: 'rest', ms});
   });
@@ -40,20 +40,20 @@
     '1.2.3',
     '.',
     'Wed, 21 Oct 2015 07:28:00 GMT',
-  ])('is nothing that can be read: %j', text => {
+  ])('is reported as unparsable: %j', text => {
     expect(read(503, text)).toEqual({kind: 'unread', text});
   });
 
-  it('is nothing without the header, for no time, or with an answer', () => {
-    const nothing = {kind: 'none'};
-    expect(read(503)).toEqual(nothing);
-    expect(read(503, '0')).toEqual(nothing);
-    expect(read(503, '0.0')).toEqual(nothing);
-    expect(read(200, '3')).toEqual(nothing);
-    expect(read(421, '3')).toEqual(nothing);
+  it('asks for no delay if absent, zero or on a status other than 429 and 503', () => {
+    const noDelay = {kind: 'none'};
+    expect(read(503)).toEqual(noDelay);
+    expect(read(503, '0')).toEqual(noDelay);
+    expect(read(503, '0.0')).toEqual(noDelay);
+    expect(read(200, '3')).toEqual(noDelay);
+    expect(read(421, '3')).toEqual(noDelay);
   });
 
-  it('keeps little of what it can not read', () => {
+  it('keeps only the start of an unparsable value', () => {
     const got = read(503, 'x'.repeat(5_000));
     expect(JSON.stringify(got).length).toBeLessThan(100);
   });
--- a/src/http/retry-after.ts
+++ b/src/http/retry-after.ts
@@ -1,26 +1,26 @@
-/** The header Retry-After as whoever gets it reads it. Source: RFC 9110. */
+/**
+ * Parses the Retry-After header of target responses (RFC 9110, section 10.2.3).
+ * Seconds may have a fraction; dates are not supported.
+ */
 import type * as http from 'node:http';
 import * as decimal from './decimal';
 
-/** Statuses of answers that may ask not to be sent more for a while. */
+/** Statuses with which Retry-After is honoured. */
 const RETRY_AFTER_STATUSES = new Set([429, 503]);
 const SECOND_MS = 1_000;
-/**
- * Longest rest that is kept, in milliseconds: what asks for more is taken for a
- * mistake, and whoever means it asks again.
- */
+/** Longer delays are cut to this; a target can repeat the header. */
 export const MAX_RETRY_AFTER_MS = 3_600_000;
 
-/** What an answer asks of whoever sent the request. */
+/** The delay that a response asks for. */
 export type RetryAfterHeader =
-  /** Nothing. */
+  /** No delay. */
   | {readonly kind: 'none'}
-  /** To send nothing more for so long. */
+  /** No requests for `ms` milliseconds. */
   | {readonly kind: 'rest'; readonly ms: number}
-  /** Something that can't be read. */
+  /** A value that is not a number of seconds. */
   | decimal.UnparsableText;
 
-/** What an answer asks for; those that turned nobody away ask for nothing. */
+/** Parses the header of a response; ignored unless the status is 429 or 503. */
 export function parseRetryAfter(
   status: number,
   headers: http.IncomingHttpHeaders,
--- a/src/http/server-limit.test.ts
+++ b/src/http/server-limit.test.ts
@@ -1,6 +1,6 @@
 import {parseRateLimit} from './server-limit';
 
-describe('what an answer names as its limit', () => {
+describe('rate limit header', () => {
   it.each([
     ['2', 2],
     ['0.5', 0.5],
@@ -10,18 +10,18 @@
     ['0', 0],
     ['007', 7],
     ['999999', 999_999],
-  ])('is a limit: %s', (text, perSecond) => {
+  ])('is parsed as requests per second: %s', (text, perSecond) => {
     expect(parseRateLimit(text)).toEqual({kind: 'limit', perSecond});
   });
 
   it.each(['', 'few', '-1', '+1', '1e3', 'NaN', 'Infinity', '1,5', '2/s', '.'])(
-    'is nothing that can be read: %j',
+    'is reported as unparsable: %j',
     text => {
       expect(parseRateLimit(text)).toEqual({kind: 'unread', text});
     },
   );
 
-  it('is no limit that anybody means where it is huge', () => {
+  it('is reported as unparsable if implausibly large', () => {
     const text = '9'.repeat(400);
     expect(parseRateLimit(text)).toEqual({
       kind: 'unread',
@@ -29,7 +29,7 @@
     });
   });
 
-  it('is none without the header', () => {
+  it('sets no limit if absent', () => {
     expect(parseRateLimit(undefined)).toEqual({kind: 'none'});
   });
 });
--- a/src/http/server-limit.ts
+++ b/src/http/server-limit.ts
@@ -1,20 +1,19 @@
-/** How many requests a target takes a second, as its answers name it. */
-
+/** Parses the rate limit that a target states in its responses. */
 import * as decimal from './decimal';
 
-/** Requests a second from which on a limit is taken for a mistake. */
+/** Limits from this value on are treated as errors. */
 const IMPLAUSIBLE_REQUESTS_PER_SECOND = 1_000_000;
 
-/** What an answer names as its target's limit. */
+/** The rate limit that a response states. */
 export type RateLimitHeader =
-  /** None: the target takes what comes. */
+  /** No header: the target has no limit. */
   | {readonly kind: 'none'}
-  /** Requests a second from all senders together; 0 for none at all. */
+  /** Requests per second from all senders together; 0 allows none. */
   | {readonly kind: 'limit'; readonly perSecond: number}
-  /** Something that can't be read. */
+  /** A value that is not a number or implausibly large. */
   | decimal.UnparsableText;
 
-/** Reads a header's text; undefined where the answer has none. */
+/** Parses the header's value; undefined if the response has none. */
 export function parseRateLimit(header: string | undefined): RateLimitHeader {
   const text = header?.trim();
   if (text === undefined) {
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -8,30 +8,30 @@
 const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 const MAX_HEADER_BYTES = 16 * 1024;
 
-/** Answers one request; a rejection is reported through `onFault`. */
+/** Handles one request; a rejection is passed to `onFault`. */
 export type Handler = (
   req: http.IncomingMessage,
   res: http.ServerResponse,
 ) => Promise<void>;
 
-/** A server that listens, and the address it was bound to. */
+/** A listening server. */
 export interface Listener {
+  /** The address it is bound to. */
   readonly address: string;
   /** Stops accepting and closes connections as they become idle. */
   drain(): void;
-  /** Stops accepting and cuts what is still open. */
+  /** Stops accepting and closes all connections at once. */
   close(): Promise<void>;
 }
 
-/** Limits of one server. */
 export interface ServerLimits {
   readonly maxConnections?: number;
   readonly requestTimeoutMs?: number;
 }
 
 /**
- * Listens on an address; port 0 takes a free one. Rejects with the
- * system's error, `EADDRINUSE` where another process holds the port.
+ * Listens on an address; port 0 picks a free one. Rejects with the system's
+ * error, such as `EADDRINUSE`.
  */
 export async function listen(
   address: string,
@@ -69,7 +69,7 @@
   };
 }
 
-/** Makes a server listen. Rejects with the system's error. */
+/** Binds a server to an address. Rejects with the system's error. */
 export async function bind(
   address: string,
   server: http.Server,
