--- a/src/http/address.ts
+++ b/src/http/address.ts
@@ -1,5 +1,6 @@
 /**
- * Addresses of processes: an IP address and a port. Host names are not accepted.
+ * Addresses of processes: an IP address and a port. Host names are not
+ * accepted.
  */
 import * as net from 'node:net';
 import * as v from 'valibot';
--- a/src/http/body.ts
+++ b/src/http/body.ts
@@ -11,7 +11,10 @@
   | {readonly kind: 'body-cut'}
   | {readonly kind: 'bad-json'; readonly detail: string};
 
-/** Reads a body of at most `limitBytes`. Fails with `body-too-large` or `body-cut`. */
+/**
+ * Reads a body of at most `limitBytes`. Fails with `body-too-large` or
+ * `body-cut`.
+ */
 export function readBody(
   stream: Readable,
   limitBytes: number,
@@ -73,7 +76,10 @@
   return body.ok ? parseJson(body.value.toString('utf8')) : body;
 }
 
-/** Sends a JSON response, unless headers are sent or the response is destroyed. */
+/**
+ * Sends a JSON response; does nothing if headers were sent or the response is
+ * destroyed.
+ */
 export function sendJson(
   res: http.ServerResponse,
   status: number,
@@ -105,8 +111,8 @@
 const MAX_BUFFERED_BYTES = 64 * 1024;
 
 /**
- * Forwards a response body with backpressure. True if it was complete; if it was
- * cut short, the receiver's connection is destroyed.
+ * Forwards a response body with backpressure. True if it was complete; if it
+ * was cut short, the receiver's connection is destroyed.
  */
 export async function forwardBody(
   from: http.IncomingMessage,
@@ -123,7 +129,7 @@
     return false;
   }
   try {
-    // Ending `to` marks the body as complete, so that waits for the check below.
+    // Ending `to` marks the body as complete, so that waits for the check.
     await pipeline(from, to, {end: false});
   } catch {
     to.destroy();
--- a/src/http/client.test.ts
+++ b/src/http/client.test.ts
@@ -71,7 +71,7 @@
     return {isForwarded, isReceived: received.ok};
   }
 
-  it('is incomplete if its connection is reset, whether read or forwarded', async () => {
+  it('is incomplete if the connection is reset', async () => {
     for (const kind of ['reset-at-once', 'reset-later'] as const) {
       end = kind;
       const response = await httpClient.fetchBuffered(
--- a/src/http/resets.ts
+++ b/src/http/resets.ts
@@ -1,8 +1,8 @@
 /**
  * Detects responses whose connection was reset. Node treats a body without a
- * length as complete when its connection ends, and libuv reports a reset that is
- * read together with the last bytes as a plain end. A socket that was reset has
- * no remote address any more.
+ * length as complete when its connection ends, and libuv reports a reset that
+ * is read together with the last bytes as a plain end. A socket that was reset
+ * has no remote address any more.
  *
  * Responses must be watched from their headers on, before the body is read.
  */
--- a/src/http/retry-after.test.ts
+++ b/src/http/retry-after.test.ts
@@ -44,7 +44,7 @@
     expect(read(503, text)).toEqual({kind: 'unread', text});
   });
 
-  it('asks for no delay if absent, zero or on a status other than 429 and 503', () => {
+  it('asks for no delay if absent, zero or on other statuses', () => {
     const noDelay = {kind: 'none'};
     expect(read(503)).toEqual(noDelay);
     expect(read(503, '0')).toEqual(noDelay);
--- a/src/placement/demand.ts
+++ b/src/placement/demand.ts
@@ -24,8 +24,8 @@
   }
 
   /**
-   * Records a reading at `now`, in milliseconds. The counters only grow until an
-   * engine restarts; the reading after a restart yields no rate.
+   * Records a reading at `now`, in milliseconds. The counters only grow until
+   * an engine restarts; the reading after a restart yields no rate.
    */
   record(counts: readonly (readonly number[])[], now: number): void {
     const before = this.lastCounts;
--- a/src/placement/planner.ts
+++ b/src/placement/planner.ts
@@ -1,8 +1,8 @@
 /**
- * Plans the expert placement of a group in the sidecar of its lowest rank: reads
- * demand from all ranks, decides whether moves are worth their cost and proposes
- * a new map. The state is not persisted: a new planner measures demand again
- * within two periods, and the ranks hold the map in force.
+ * Plans the expert placement of a group in the sidecar of its lowest rank:
+ * reads demand from all ranks, decides whether moves are worth their cost and
+ * proposes a new map. The state is not persisted: a new planner measures demand
+ * again within two periods, and the ranks hold the map in force.
  */
 import type {ExpertMap} from '../groups/types';
 import type {PlacementSettings} from '../configuration/types';
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Runs one planning round at `now`, in milliseconds. True if the group adopted
-   * a new map.
+   * Runs one planning round at `now`, in milliseconds. True if the group
+   * adopted a new map.
    */
   async planOnce(now: number): Promise<boolean> {
     const cfg = this.settings();
--- a/src/routes/current.test.ts
+++ b/src/routes/current.test.ts
@@ -38,7 +38,7 @@
   };
 }
 
-describe('the configuration in force', () => {
+describe('CurrentConfiguration', () => {
   it('never goes back to an older version', () => {
     const current = new CurrentConfiguration();
     expect(current.offer(snapshot(5))).toBe(true);
@@ -48,7 +48,7 @@
     expect(current.offer(snapshot(9))).toBe(true);
   });
 
-  it('counts its age from when the store was asked', () => {
+  it('measures its age from the latest confirmation', () => {
     const current = new CurrentConfiguration();
     expect(current.isStale(0)).toBe(true);
     current.confirm(1_000);
@@ -59,10 +59,10 @@
   });
 });
 
-describe('a table of routes', () => {
+describe('RouteTable', () => {
   const table = new tables.RouteTable(snapshot(1));
 
-  it('takes the longest prefix of the host', () => {
+  it('finds the route with the longest matching prefix of the host', () => {
     expect(table.findRoute('a.example', '/x/y/z')?.name).toBe('narrow');
     expect(table.findRoute('A.example:80', '/x/z?q=/x/y/')?.name).toBe('wide');
     expect(table.findRoute('b.example', '/x/y/')?.name).toBe('other');
@@ -70,12 +70,12 @@
     expect(table.findRoute('a.example', '/z/')).toBeUndefined();
   });
 
-  it('knows the account of a key', () => {
+  it('finds the account of a key', () => {
     expect(table.findAccount('k1')?.name).toBe('acc');
     expect(table.findAccount('k2')).toBeUndefined();
   });
 
-  it('splits by weight', () => {
+  it('picks services by weight', () => {
     const split = {
       ...route('r', 'h', '/'),
       services: [
--- a/src/routes/current.ts
+++ b/src/routes/current.ts
@@ -1,20 +1,17 @@
 /**
- * The configuration in force in this process. Versions only rise. It also
- * knows how long ago the store last confirmed that nothing newer exists,
- * because a key may only be trusted for a bounded time without that.
+ * The configuration in force in this process, and when the store last confirmed
+ * that it is the newest: API keys may only be accepted for a bounded time after
+ * that. Versions only increase.
  */
 import {BehaviorSubject} from 'rxjs';
 import {RouteTable} from './table';
 import type * as types from './types';
 
-/**
- * Milliseconds without the store. A watch waits up to 1.8 s, and a slow store
- * may take some hundred milliseconds more.
- */
+/** Longer than a watch request that waits 1.8 s at a slow store. */
 const MAX_CONFIRMATION_AGE_MS = 2_600;
 
 export class CurrentConfiguration {
-  /** Undefined until the first version is known. */
+  /** Emits each version in force; undefined until the first one is known. */
   readonly tables = new BehaviorSubject<RouteTable | undefined>(undefined);
   private confirmedAt = -Infinity;
 
@@ -22,10 +19,10 @@
     return this.tables.value;
   }
 
-  /** Takes a version unless a newer one is held. True where it was taken. */
+  /** Applies a version if it is newer than the current one; true if applied. */
   offer(snapshot: types.Snapshot): boolean {
-    const held = this.table?.snapshot.version ?? -Infinity;
-    if (snapshot.version <= held) {
+    const current = this.table?.snapshot.version ?? -Infinity;
+    if (snapshot.version <= current) {
       return false;
     }
     this.tables.next(new RouteTable(snapshot));
@@ -33,27 +30,29 @@
   }
 
   /**
-   * Notes that the version held was the newest at `at`, in milliseconds of
-   * the process's monotonic clock.
+   * Records that the current version was the newest at `at`, in milliseconds of
+   * the monotonic clock.
    */
   confirm(at: number): void {
     this.confirmedAt = Math.max(this.confirmedAt, at);
   }
 
-  /** This instance was suspended: the last word is older by so much. */
+  /**
+   * Ages the last confirmation by the time that this instance was suspended.
+   */
   backdate(lostMs: number): void {
     this.confirmedAt -= lostMs;
   }
 
   /**
-   * True where the store was silent for so long that callers are better
-   * served by another entry.
+   * True if the last confirmation is so old that callers should be served by
+   * another entry.
    */
   isStale(now: number): boolean {
     return this.ageMs(now) > MAX_CONFIRMATION_AGE_MS;
   }
 
-  /** Milliseconds since the store last confirmed the version held. */
+  /** Milliseconds since the store last confirmed the current version. */
   ageMs(now: number): number {
     return now - this.confirmedAt;
   }
--- a/src/routes/table.ts
+++ b/src/routes/table.ts
@@ -1,7 +1,7 @@
-/** Looking up routes and keys of one configuration version. */
+/** Looks up routes, accounts and services of one configuration version. */
 import type * as types from './types';
 
-/** A snapshot with its indexes. */
+/** A configuration snapshot with its indexes. */
 export class RouteTable {
   private readonly byHost = new Map<string, types.Route[]>();
   private readonly byKey = new Map<string, types.ClientAccount>();
@@ -23,13 +23,16 @@
     snapshot.services.forEach(one => this.byService.set(one.name, one));
   }
 
-  /** The route of the host whose prefix is the longest that fits. */
+  /**
+   * The route with the longest prefix that matches the path. A host with a port
+   * also matches routes of the host alone; the query is ignored.
+   */
   findRoute(host: string, path: string): types.Route | undefined {
     const name = host.toLowerCase();
     const routes =
       this.byHost.get(name) ?? this.byHost.get(name.replace(/:\d+$/, ''));
-    const bare = path.split('?', 1)[0]!;
-    return routes?.find(route => bare.startsWith(route.pathPrefix));
+    const pathOnly = path.split('?', 1)[0]!;
+    return routes?.find(route => pathOnly.startsWith(route.pathPrefix));
   }
 
   findAccount(key: string): types.ClientAccount | undefined {
@@ -40,19 +43,21 @@
     return this.byService.get(name);
   }
 
-  /** True where the route's requests must carry a known key. */
+  /** True if requests of the route must carry the API key of an account. */
   needsKey(route: types.Route): boolean {
     return !route.isPublic && this.snapshot.accounts !== undefined;
   }
 }
 
-/** Picks a route's service; `unit` is a number in [0, 1). */
-export function pickService(route: types.Route, unit: number): string {
+/**
+ * Picks one of a route's services by weight; `fraction` is a number in [0, 1).
+ */
+export function pickService(route: types.Route, fraction: number): string {
   const total = route.services.reduce((sum, one) => sum + one.weight, 0);
-  let left = unit * total;
+  let remaining = fraction * total;
   for (const {service, weight} of route.services) {
-    left -= weight;
-    if (left < 0) {
+    remaining -= weight;
+    if (remaining < 0) {
       return service;
     }
   }
--- a/src/routes/types.ts
+++ b/src/routes/types.ts
@@ -1,15 +1,18 @@
-/** What a configuration of routes says, in the project's own terms. */
+/** The routing configuration, independent of its format in the store. */
 
-/** What may be repeated of a route's requests. */
+/**
+ * Whether requests of a route may be retried: `safe` ones may, `unsafe` ones
+ * may not, a `stream` only if it is resumable.
+ */
 export type RouteKind = 'safe' | 'unsafe' | 'stream';
 
-/** A service that takes a share of a route's requests. */
+/** A service and its relative share of a route's requests. */
 export interface WeightedService {
   readonly service: string;
   readonly weight: number;
 }
 
-/** How requests of one host and path prefix are served. */
+/** Handling of the requests with one host and path prefix. */
 export interface Route {
   readonly name: string;
   readonly host: string;
@@ -17,63 +20,64 @@
   readonly kind: RouteKind;
   /** Not empty. */
   readonly services: readonly WeightedService[];
-  /** Longest time that a request is held, in milliseconds. */
+  /** Milliseconds after which a request is given up. */
   readonly timeoutMs: number;
-  /** Latency objective; of a stream up to its first event. */
+  /** Target latency, for a stream until its first event; 0: none. */
   readonly latencyObjectiveMs: number;
-  /** Longest pause between events that keeps a stream in time. */
+  /** Maximum gap between events of a stream; 0: none. */
   readonly pauseMs: number;
-  /** Targets that one request may be sent to. */
+  /** Maximum number of targets that one request is sent to. */
   readonly attempts: number;
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   readonly priority: number;
-  /** Needs no API key. */
+  /** True if no API key is required. */
   readonly isPublic: boolean;
-  /** A stream that another target may carry on. */
+  /** True if another target may continue a stream. */
   readonly isResumable: boolean;
 }
 
-/** Costs of an engine's steps, as its operator states them. */
+/** Cost model of an engine's steps, from the operator's configuration. */
 export interface EngineParameters {
-  /** Requests in a batch. */
+  /** Maximum requests in a batch. */
   readonly slots: number;
   readonly stepMs: number;
-  /** Per request that is generating. */
+  /** Step time added by each generating request. */
   readonly perSequenceMs: number;
-  /** Per 1,000 tokens of context of a request that is generating. */
+  /** Step time added by 1,000 tokens of context of a generating request. */
   readonly perContextKMs: number;
   readonly promptTokensPerSecond: number;
-  /** Prompt tokens read in one step, at most. */
+  /** Maximum prompt tokens processed in one step. */
   readonly chunkTokens: number;
-  /** Steps in a pass while something is generating. */
+  /** Steps in a pass while any request is generating. */
   readonly stride: number;
-  /** Mean tokens of a prompt and of an answer. */
   readonly meanPromptTokens: number;
   readonly meanAnswerTokens: number;
   readonly experts: ExpertParameters | undefined;
 }
 
-/** How experts lie on the ranks of an engine's group. */
+/** Placement of experts on the ranks of an engine's group. */
 export interface ExpertParameters {
   /** Sets of layers that share a placement. */
   readonly sets: number;
   /** Experts in each set. */
   readonly experts: number;
-  /** Experts that a rank holds in a set, at most. */
+  /** Maximum experts that a rank holds in a set. */
   readonly places: number;
-  /** Experts new to a rank in a set that one change may bring, at most. */
+  /** Maximum experts per set that one map change may add to a rank. */
   readonly spare: number;
-  /** Share of a token's work that is done by experts. */
+  /** Fraction of a token's work that is done by experts. */
   readonly share: number;
   /** Milliseconds to copy one expert to a rank. */
   readonly copyMs: number;
-  /** Milliseconds until a group opens once all its ranks are there. */
+  /**
+   * Milliseconds until a group accepts requests once all its ranks are present.
+   */
   readonly formMs: number;
 }
 
 export interface Service {
   readonly name: string;
-  /** Connections that one of its targets accepts from all callers. */
+  /** Maximum connections to one target, from all callers together. */
   readonly connectionLimit: number;
   readonly engine: EngineParameters | undefined;
 }
@@ -81,11 +85,11 @@
 export interface ClientAccount {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Goes before the route's, where given. */
+  /** Overrides the route's priority; undefined: does not. */
   readonly priority: number | undefined;
 }
 
-/** Bounds on what callers may send and how long it may take. */
+/** Limits on the size and duration of callers' requests. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -93,7 +97,7 @@
   readonly idleTimeoutMs: number;
 }
 
-/** One version of the configuration, whole. */
+/** One complete version of the configuration. */
 export interface Snapshot {
   readonly version: number;
   readonly routes: readonly Route[];
--- a/src/rpc/client.ts
+++ b/src/rpc/client.ts
@@ -1,4 +1,4 @@
-/** JSON-RPC calls to other processes. */
+/** JSON-RPC client for calls to other processes. */
 import type * as http from 'node:http';
 import {JSONRPCClient, JSONRPCErrorException} from 'json-rpc-2.0';
 import type {JSONRPCRequest, JSONRPCResponse} from 'json-rpc-2.0';
@@ -16,7 +16,6 @@
   }
 }
 
-/** Calls methods at addresses. */
 export class RpcClient {
   private readonly agent: http.Agent = httpClient.makeAgent();
 
@@ -25,7 +24,11 @@
     private readonly ownAddress: () => string = () => '',
   ) {}
 
-  /** Calls a method. Fails with `unreachable`, `rejected`, `bad-result`. */
+  /**
+   * Calls a method of the process at `address`. `timeoutMs` applies to the
+   * response headers and to its body separately. Fails with `unreachable`,
+   * `rejected` or `bad-result`.
+   */
   async call<P, R>(
     address: string,
     method: types.Method<P, R>,
@@ -37,8 +40,8 @@
       client.receive(await this.post(address, request, timeoutMs, signal));
     });
     try {
-      const raw: unknown = await client.request(method.name, params);
-      return parseResult(method, raw);
+      const result: unknown = await client.request(method.name, params);
+      return parseResult(method, result);
     } catch (err) {
       return fail(toRpcError(err));
     }
@@ -54,38 +57,38 @@
     timeoutMs: number,
     signal: AbortSignal | undefined,
   ): Promise<JSONRPCResponse> {
-    const coded = coding.encode(request);
-    const answer = await httpClient.fetchBuffered(
+    const encoded = coding.encode(request);
+    const response = await httpClient.fetchBuffered(
       this.agent,
       {
         address,
         method: 'POST',
         path: types.RPC_PATH,
         headers: {
-          ...coded.headers,
+          ...encoded.headers,
           [types.STAMP_HEADER]: this.stamps.ownStamp(),
           [types.PEER_HEADER]: this.ownAddress(),
         },
-        body: coded.bytes,
+        body: encoded.bytes,
         timeoutMs,
         signal,
       },
       types.MAX_RPC_BYTES,
     );
-    if (!answer.ok) {
-      throw new RpcCallError({kind: 'unreachable', sent: answer.error.sent});
+    if (!response.ok) {
+      throw new RpcCallError({kind: 'unreachable', sent: response.error.sent});
     }
-    const stamp = answer.value.headers[types.STAMP_HEADER];
+    const stamp = response.value.headers[types.STAMP_HEADER];
     if (typeof stamp === 'string' && stamp !== '') {
       this.stamps.onPeerStamp(stamp, address);
     }
-    const {headers} = answer.value;
+    const {headers} = response.value;
     const parsed = coding.decode(
-      answer.value.body,
+      response.value.body,
       headers['content-encoding'],
     );
-    if (!parsed.ok || answer.value.status !== 200) {
-      const detail = `status ${answer.value.status}`;
+    if (!parsed.ok || response.value.status !== 200) {
+      const detail = `status ${response.value.status}`;
       throw new RpcCallError({kind: 'bad-result', detail});
     }
     return parsed.value as JSONRPCResponse;
@@ -100,7 +103,8 @@
   if (parsed.success) {
     return ok(parsed.output);
   }
-  const detail = parsed.issues[0]?.message ?? 'wrong shape';
+  const detail =
+    parsed.issues[0]?.message ?? 'result does not match its schema';
   return fail({kind: 'bad-result', detail});
 }
 
--- a/src/rpc/coding.test.ts
+++ b/src/rpc/coding.test.ts
@@ -3,25 +3,25 @@
 import * as coding from './coding';
 import {MAX_RPC_BYTES} from './types';
 
-function codingOf(coded: coding.EncodedBody): string | undefined {
-  return coded.headers['content-encoding'];
+function contentCodingOf(encoded: coding.EncodedBody): string | undefined {
+  return encoded.headers['content-encoding'];
 }
 
-describe('bodies of calls', () => {
-  it('come back as they were, long and short', () => {
+describe('RPC bodies', () => {
+  it('decode to the encoded document, short and long', () => {
     fc.assert(
       fc.property(fc.jsonValue(), fc.nat(3_000), (value, length) => {
         const document = [value, 'x'.repeat(length)];
         const text = JSON.stringify(document);
-        const coded = coding.encode(document);
-        const read = coding.decode(coded.bytes, codingOf(coded));
-        expect(read).toEqual({ok: true, value: JSON.parse(text)});
+        const encoded = coding.encode(document);
+        const decoded = coding.decode(encoded.bytes, contentCodingOf(encoded));
+        expect(decoded).toEqual({ok: true, value: JSON.parse(text)});
       }),
       {seed: 5, numRuns: 200},
     );
   });
 
-  it('are a tenth as long where many ranks say alike', () => {
+  it('shrink to a tenth for similar states of many ranks', () => {
     const states = Array.from({length: 129}, (_, rank) => ({
       kind: 'read',
       reading: {
@@ -34,11 +34,14 @@
   });
 
   it.each([
-    ['no deflated bytes', Buffer.from('{"a":1}')],
-    ['no JSON', zlib.deflateRawSync(Buffer.from('{"a":'))],
-    ['too much', zlib.deflateRawSync(Buffer.alloc(MAX_RPC_BYTES + 1, '1'))],
-  ])('with %s are refused', (_, bytes) => {
-    const read = coding.decode(bytes, 'deflate');
-    expect(read).toMatchObject({ok: false, error: {kind: 'bad-json'}});
+    ['bytes that are not deflated', Buffer.from('{"a":1}')],
+    ['invalid JSON', zlib.deflateRawSync(Buffer.from('{"a":'))],
+    [
+      'too large a size when inflated',
+      zlib.deflateRawSync(Buffer.alloc(MAX_RPC_BYTES + 1, '1')),
+    ],
+  ])('with %s are rejected', (_, bytes) => {
+    const decoded = coding.decode(bytes, 'deflate');
+    expect(decoded).toMatchObject({ok: false, error: {kind: 'bad-json'}});
   });
 });
--- a/src/rpc/coding.ts
+++ b/src/rpc/coding.ts
@@ -1,29 +1,27 @@
 /**
- * Bodies of calls between processes, deflated where that is worth while: links
- * beside the ranks are narrow, and what is told of many ranks repeats itself.
+ * Encodes and decodes RPC bodies: JSON, deflated above a minimum size. Links
+ * next to the ranks have little bandwidth, and data about many ranks compresses
+ * well.
  */
 import * as zlib from 'node:zlib';
 import * as body from '../http/body';
 import {Result, fail} from '../result';
 import {MAX_RPC_BYTES} from './types';
 
-/**
- * Shorter texts go as they are, in bytes: deflating them costs more than the link
- * gains.
- */
+/** Shorter bodies are sent uncompressed. */
 const MIN_DEFLATED_BYTES = 1_024;
-/** Most of the gain at the least processor time. */
+/** The level with the least processor time. */
 const DEFLATE_LEVEL = 1;
-/** Source: RFC 9110, section 8.4.1; without the zlib wrapper. */
+/** RFC 9110, section 8.4.1, but raw deflate without the zlib wrapper. */
 const CONTENT_CODING = 'deflate';
 
-/** A body and the headers that say how to read it. */
+/** An encoded body and its content headers. */
 export interface EncodedBody {
   readonly bytes: Buffer;
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** A document as the body of a call or of its answer. */
+/** Encodes a document as the body of a request or response. */
 export function encode(document: unknown): EncodedBody {
   const text = Buffer.from(JSON.stringify(document));
   const headers = {'content-type': 'application/json'};
@@ -35,7 +33,10 @@
       };
 }
 
-/** Reads such a body. Fails with `bad-json`; what unpacks to too much is none either. */
+/**
+ * Decodes a body. Fails with `bad-json`, also if the inflated size exceeds
+ * `MAX_RPC_BYTES`.
+ */
 export function decode(
   bytes: Buffer,
   coding: string | undefined,
--- a/src/rpc/server.ts
+++ b/src/rpc/server.ts
@@ -1,4 +1,4 @@
-/** The RPC face of a process: schema-checked methods behind POST /rpc. */
+/** JSON-RPC server of a process: schema-checked methods behind POST /rpc. */
 import type * as http from 'node:http';
 import {
   JSONRPCErrorCode,
@@ -12,13 +12,12 @@
 import * as coding from './coding';
 import * as types from './types';
 
-/** What a handler knows about the process that called. */
+/** The calling process. */
 export interface Peer {
-  /** Where the caller listens; empty where it did not say. */
+  /** Address on which the caller listens; empty if it sent none. */
   readonly address: string;
 }
 
-/** Methods of a process, each bound to its handler. */
 export class RpcServer {
   private readonly server = new JSONRPCServer<Peer>({
     errorListener: () => undefined,
@@ -29,7 +28,7 @@
     private readonly stamps: types.StampExchange = types.NO_STAMPS,
   ) {}
 
-  /** Binds a handler to a method. */
+  /** Registers the handler of a method. */
   handle<P, R>(
     method: types.Method<P, R>,
     handler: (params: P, peer: Peer) => Promise<R> | R,
@@ -43,7 +42,7 @@
     });
   }
 
-  /** Answers one HTTP request to `/rpc`. */
+  /** Handles one HTTP request to `/rpc`. */
   async handleRequest(
     req: http.IncomingMessage,
     res: http.ServerResponse,
@@ -63,15 +62,15 @@
       return;
     }
     const request = read.value as JSONRPCRequest;
-    const answer = await this.server.receive(request, peer);
+    const response = await this.server.receive(request, peer);
     if (!res.headersSent && !res.destroyed) {
-      const coded = coding.encode(answer ?? null);
+      const encoded = coding.encode(response ?? null);
       res.writeHead(200, {
-        ...coded.headers,
-        'content-length': coded.bytes.length,
+        ...encoded.headers,
+        'content-length': encoded.bytes.length,
         [types.STAMP_HEADER]: this.stamps.ownStamp(),
       });
-      res.end(coded.bytes);
+      res.end(encoded.bytes);
     }
   }
 
@@ -79,7 +78,7 @@
     name: string,
     detail: string | undefined,
   ): JSONRPCErrorException {
-    const text = detail ?? 'wrong shape';
+    const text = detail ?? 'parameters do not match their schema';
     this.log.event('rpcRejected', {method: name, detail: text});
     return new JSONRPCErrorException(text, JSONRPCErrorCode.InvalidParams);
   }
--- a/src/rpc/types.ts
+++ b/src/rpc/types.ts
@@ -1,14 +1,13 @@
-/** Methods between the system's own processes, declared by schema. */
+/** Declarations of RPC methods and the headers that calls carry. */
 import * as v from 'valibot';
 
-/** One method: name, shape of its parameters, shape of its result. */
+/** An RPC method: its name and the schemas of its parameters and result. */
 export interface Method<P, R> {
   readonly name: string;
   readonly params: v.GenericSchema<unknown, P>;
   readonly result: v.GenericSchema<unknown, R>;
 }
 
-/** Declares a method. */
 export function method<P, R>(
   name: string,
   params: v.GenericSchema<unknown, P>,
@@ -17,32 +16,33 @@
   return {name, params, result};
 }
 
-/** Why a call gave no result. */
+/** Why a call returned no result. */
 export type RpcError =
-  /** `sent` false: the peer certainly saw nothing. */
+  /** `sent` is false if the peer certainly received nothing. */
   | {readonly kind: 'unreachable'; readonly sent: boolean}
-  /** The peer answered with an error of its own. */
+  /** The peer returned a JSON-RPC error. */
   | {readonly kind: 'rejected'; readonly code: number; readonly text: string}
+  /** The response is not JSON-RPC, or the result does not match its schema. */
   | {readonly kind: 'bad-result'; readonly detail: string};
 
-/** Path of the RPC face on every process. */
+/** HTTP path of the RPC server in every process. */
 export const RPC_PATH = '/rpc';
-/** Cap on a request or an answer. */
+/** Maximum size of a request or response body. */
 export const MAX_RPC_BYTES = 8 * 1024 * 1024;
-/** Header that carries a process's configuration stamp. */
+/** Header with the version stamp of the sender's configuration copy. */
 export const STAMP_HEADER = 'ferrycleat-stamp';
-/** Header with the address a process can be called back at. */
+/** Header with the address on which the sender listens. */
 export const PEER_HEADER = 'ferrycleat-peer';
 
-/** What calls between processes tell about configuration on the way. */
+/** Exchanges configuration stamps between processes in the headers of calls. */
 export interface StampExchange {
-  /** This process's stamp. */
+  /** The stamp of this process's configuration copy. */
   ownStamp(): string;
-  /** Called with each stamp that a peer sent; empty address: unknown. */
+  /** Called with each stamp received; `address` is empty if not known. */
   onPeerStamp(stamp: string, address: string): void;
 }
 
-/** Exchange of a process that holds no configuration. */
+/** For a process that holds no configuration. */
 export const NO_STAMPS: StampExchange = {
   ownStamp: () => '',
   onPeerStamp: () => undefined,
--- a/src/settings/command.ts
+++ b/src/settings/command.ts
@@ -1,9 +1,9 @@
-/** Commands from setting tables: flags, environment, help, exit codes. */
+/** Adds settings to commands as flags and environment variables; exit codes. */
 import type {Command} from 'commander';
 import {Option} from 'commander';
 import * as settings from './types';
 
-/** Exit codes of every command; docs/OPERATIONS.md lists them. */
+/** Exit codes of all commands, documented in docs/OPERATIONS.md. */
 export const EXIT = {
   ok: 0,
   failed: 1,
@@ -12,7 +12,7 @@
   unavailable: 4,
 } as const;
 
-/** Adds a table's settings to a command as flags and variables. */
+/** Adds each setting of a table as a flag and an environment variable. */
 export function addSettings(
   command: Command,
   table: settings.SettingTable,
@@ -33,7 +33,10 @@
   return command;
 }
 
-/** Reads a command's settings; prints what is wrong and ends otherwise. */
+/**
+ * Parses a command's settings. For an invalid one, prints an error and exits
+ * with `EXIT.badUsage`.
+ */
 export function readSettings<T extends settings.SettingTable>(
   command: Command,
   table: T,
--- a/src/settings/types.ts
+++ b/src/settings/types.ts
@@ -1,11 +1,14 @@
 /**
- * Settings of a command: each is a flag, an environment variable and a
- * schema, declared once.
+ * Declaration and parsing of command settings. One declaration gives a setting
+ * its flag, environment variable and schema.
  */
 import * as v from 'valibot';
 import {Result, fail, ok} from '../result';
 
-/** One setting. `text` is what `--help` says. */
+/**
+ * One setting. `text` is its description in `--help`; without a `fallback` it
+ * is required, unless the schema accepts undefined.
+ */
 export interface Setting {
   readonly schema: v.GenericSchema<unknown, unknown>;
   readonly text: string;
@@ -13,15 +16,15 @@
   readonly placeholder?: string;
 }
 
-/** The settings of a command by name in camel case. */
+/** Settings of a command, by name in camel case. */
 export type SettingTable = Readonly<Record<string, Setting>>;
 
-/** The parsed settings of a table. */
+/** Parsed values of a table's settings. */
 export type Settings<T extends SettingTable> = {
   readonly [K in keyof T]: v.InferOutput<T[K]['schema']>;
 };
 
-/** A setting that is missing or does not parse. */
+/** A missing or invalid setting; `value` is undefined if missing. */
 export interface SettingError {
   readonly kind: 'bad-setting';
   readonly flag: string;
@@ -43,7 +46,7 @@
   return ENVIRONMENT_PREFIX + snake.toUpperCase();
 }
 
-/** Parses raw texts. Fails with the first `bad-setting`. */
+/** Parses raw values. Fails with the first `bad-setting`. */
 export function parseSettings<T extends SettingTable>(
   table: T,
   raw: Readonly<Record<string, string | undefined>>,
@@ -66,7 +69,7 @@
   return ok(parsed as Settings<T>);
 }
 
-/** A whole number within bounds, read from text. */
+/** Schema of an integer from `min` to `max`, parsed from text. */
 export function wholeNumber(min: number, max: number) {
   const allowed = `a whole number from ${min} to ${max}`;
   return v.pipe(
@@ -78,7 +81,9 @@
   );
 }
 
-/** A name made of letters, digits, dots, dashes and underscores. */
+/**
+ * Schema of a name of at most 63 characters, starting with a letter or digit.
+ */
 export const nameSchema = v.pipe(
   v.string('a name of letters, digits, . _ and -'),
   v.regex(
