--- a/src/http/client.test.ts
+++ b/src/http/client.test.ts
@@ -46,9 +46,9 @@
   afterAll(() => agent.destroy());
 
   /** Fetches the response through a relay that forwards its body. */
-  async function fetchThroughRelay(): Promise<{
+  async function viaRelay(): Promise<{
     isForwarded: boolean;
-    isReceived: boolean;
+    received: boolean;
   }> {
     let isForwarded = false;
     const relay = await httpServer.listen(
@@ -62,13 +62,13 @@
       },
       () => undefined,
     );
-    const received = await httpClient.fetchBuffered(
+    const response = await httpClient.fetchBuffered(
       agent,
       {...CALL, address: relay.address},
       LIMIT_BYTES,
     );
     await relay.close();
-    return {isForwarded, isReceived: received.ok};
+    return {isForwarded, received: response.ok};
   }
 
   it('is incomplete if the connection is reset', async () => {
@@ -83,10 +83,10 @@
         kind,
         {ok: false, error: {kind: 'connection-lost', sent: true}},
       ]);
-      const forwarded = await fetchThroughRelay();
+      const forwarded = await viaRelay();
       expect([kind, forwarded]).toEqual([
         kind,
-        {isForwarded: false, isReceived: false},
+        {isForwarded: false, received: false},
       ]);
     }
   });
@@ -99,9 +99,9 @@
       LIMIT_BYTES,
     );
     expect(response).toMatchObject({ok: true, value: {status: 200}});
-    expect(await fetchThroughRelay()).toEqual({
+    expect(await viaRelay()).toEqual({
       isForwarded: true,
-      isReceived: true,
+      received: true,
     });
   });
 });
