--- a/src/http/client.test.ts
+++ b/src/http/client.test.ts
@@ -46,18 +46,15 @@
   afterAll(() => agent.destroy());
 
   /** Fetches the response through a relay that forwards its body. */
-  async function viaRelay(): Promise<{
-    isForwarded: boolean;
-    received: boolean;
-  }> {
-    let isForwarded = false;
+  async function viaRelay(): Promise<{forwarded: boolean; received: boolean}> {
+    let forwarded = false;
     const relay = await httpServer.listen(
       '127.0.0.1:0',
       async (_req, res) => {
         const sent = await httpClient.send(agent, {...CALL, address});
         if (sent.ok) {
           res.writeHead(200);
-          isForwarded = await body.forwardBody(sent.value, res);
+          forwarded = await body.forwardBody(sent.value, res);
         }
       },
       () => undefined,
@@ -68,7 +65,7 @@
       LIMIT_BYTES,
     );
     await relay.close();
-    return {isForwarded, received: response.ok};
+    return {forwarded, received: response.ok};
   }
 
   it('is incomplete if the connection is reset', async () => {
@@ -83,10 +80,10 @@
         kind,
         {ok: false, error: {kind: 'connection-lost', sent: true}},
       ]);
-      const forwarded = await viaRelay();
-      expect([kind, forwarded]).toEqual([
+      const relayed = await viaRelay();
+      expect([kind, relayed]).toEqual([
         kind,
-        {isForwarded: false, received: false},
+        {forwarded: false, received: false},
       ]);
     }
   });
@@ -100,7 +97,7 @@
     );
     expect(response).toMatchObject({ok: true, value: {status: 200}});
     expect(await viaRelay()).toEqual({
-      isForwarded: true,
+      forwarded: true,
       received: true,
     });
   });
