--- a/src/commands/demo.ts
+++ b/src/commands/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration of the local command: the text of examples/demo.yaml,
- * carried in the binary. A test holds the two together.
+ * Configuration of the `local` command, embedded in the binary. A test checks
+ * that it equals examples/demo.yaml.
  */
 export const DEMO_DOCUMENTS = `# The site that the local command runs.
 kind: template
--- a/src/commands/local-site.ts
+++ b/src/commands/local-site.ts
@@ -1,7 +1,4 @@
-/**
- * All roles and the stand-ins in one process on loopback: a newcomer's
- * system, and what in-process tests run against.
- */
+/** Runs an entry, sidecars and the stand-ins in one process on loopback. */
 import type {Document} from '../configuration/types';
 import * as edit from '../configuration/edit';
 import {Log} from '../observability/log';
@@ -36,18 +33,18 @@
     private readonly documents: readonly Document[],
   ) {}
 
-  /** Starts everything; resolves once the first request can be served. */
+  /** Starts all processes; resolves once requests can be served. */
   async open(listen: string): Promise<LocalAddresses> {
     const platform = await this.platform.open(FREE_PORT);
     await this.applyDocuments(platform);
     await this.openServices(platform);
     await this.openEngines(platform);
-    const cfg: EntrySettings = {
+    const settings: EntrySettings = {
       ...commonSettings('entry-0', HALLS[0], platform),
       listen,
       maxConnections: 10_000,
     };
-    this.entry = new Entry(cfg, this.log);
+    this.entry = new Entry(settings, this.log);
     const address = await this.entry.open();
     this.platform.list({
       id: 'entry-0',
@@ -113,7 +110,8 @@
     platform: string,
     id: string,
     hall: string,
-    own: Pick<SidecarSettings, 'target' | 'serves'> & Partial<SidecarSettings>,
+    targetSettings: Pick<SidecarSettings, 'target' | 'serves'> &
+      Partial<SidecarSettings>,
   ): Promise<void> {
     const sidecar = new Sidecar(
       {
@@ -125,7 +123,7 @@
         maxQueued: 256,
         maxAnswerBytes: 8_000_000,
         bootId: '',
-        ...own,
+        ...targetSettings,
       },
       this.log,
     );
@@ -137,9 +135,9 @@
       role: 'sidecar',
       address,
       state: 'live',
-      serves: own.serves,
-      group: own.group ?? '',
-      rank: own.rank ?? 0,
+      serves: targetSettings.serves,
+      group: targetSettings.group ?? '',
+      rank: targetSettings.rank ?? 0,
     });
   }
 }
--- a/src/commands/local.ts
+++ b/src/commands/local.ts
@@ -1,4 +1,4 @@
-/** `local`: the whole system on one newcomer's machine. */
+/** The `local` command: the whole system in one process. */
 import type {Command} from 'commander';
 import * as parse from '../configuration/parse';
 import {addressSchema} from '../http/address';
@@ -24,7 +24,6 @@
   },
 } as const satisfies SettingTable;
 
-/** Adds `local`. */
 export function addLocal(program: Command): void {
   const command = program
     .command('local')
--- a/src/commands/operators.ts
+++ b/src/commands/operators.ts
@@ -1,4 +1,4 @@
-/** The operators' commands: template, account, check, status, explain. */
+/** The operators' commands: template, account, check, status and explain. */
 import * as fs from 'node:fs';
 import * as os from 'node:os';
 import type {Command} from 'commander';
@@ -38,7 +38,7 @@
   },
 } as const satisfies settings.SettingTable;
 
-/** Adds `template` and `account`. */
+/** Adds the `template` and `account` commands. */
 export function addDocumentCommands(program: Command): void {
   for (const kind of ['template', 'account'] as const) {
     const parent = program
@@ -162,10 +162,10 @@
     return false;
   }
   const {object, changeId} = applied.value;
-  const told = await pushToProcesses(store, object);
+  const pushed = await pushToProcesses(store, object);
   print(
     `accepted ${key} as version ${object.version} (change ${changeId}), ` +
-      `told ${told} processes`,
+      `told ${pushed} processes`,
   );
   return true;
 }
@@ -178,7 +178,11 @@
   return read.ok ? (read.value?.version ?? 0) : 0;
 }
 
-/** A few processes hear of it at once, also if the store goes down now. */
+/**
+ * Pushes an accepted object to one process in each hall and a few more, so that
+ * it spreads even if the store becomes unavailable. Returns how many received
+ * it.
+ */
 async function pushToProcesses(
   store: HttpObjectApi,
   object: {key: string; version: number; value?: unknown},
@@ -190,20 +194,19 @@
   }
   const live = list.value.filter(i => i.state === 'live');
   const byHall = new Map(live.map(i => [i.hall, i]));
-  const some = new Set([
+  const recipients = new Set([
     ...byHall.values(),
     ...live.slice(0, PUSHED_PROCESSES),
   ]);
   const rpc = new RpcClient();
   const item = {...object, value: object.value};
   const answers = await Promise.all(
-    [...some].map(i => rpc.call(i.address, app.push, {item})),
+    [...recipients].map(i => rpc.call(i.address, app.push, {item})),
   );
   rpc.close();
   return answers.filter(answer => answer.ok).length;
 }
 
-/** Adds `check`. */
 export function addCheck(program: Command): void {
   const command = program
     .command('check')
@@ -241,7 +244,6 @@
   }));
 }
 
-/** Adds `status`. */
 export function addStatus(program: Command): void {
   const command = program
     .command('status')
@@ -266,7 +268,6 @@
   });
 }
 
-/** Adds `explain`. */
 export function addExplain(program: Command): void {
   const command = program
     .command('explain')
@@ -360,18 +361,22 @@
 function formatConflict(
   error: Extract<edit.EditError, {kind: 'edit-conflict'}>,
 ): string {
-  const theirs = error.theirs ? parse.printDocument(error.theirs.document) : '';
-  const by = error.theirs ? `${error.theirs.author} at ${error.theirs.at}` : '';
+  const currentText = error.theirs
+    ? parse.printDocument(error.theirs.document)
+    : '';
+  const author = error.theirs
+    ? `${error.theirs.author} at ${error.theirs.at}`
+    : '';
   return [
-    `conflict: version ${error.theirVersion} by ${by} is in force, not the ` +
+    `conflict: version ${error.theirVersion} by ${author} is in force, not the ` +
       `version ${error.base} that this edit was made from; nothing written`,
     '--- theirs',
     '+++ ours',
-    diffLines(theirs, parse.printDocument(error.ours)),
+    diffLines(currentText, parse.printDocument(error.ours)),
   ].join('\n');
 }
 
-/** A plain line diff: what only one side has, in order. */
+/** Lines that only one side has, in order: first the old ones, then the new. */
 function diffLines(before: string, after: string): string {
   const old = before.split('\n');
   const next = after.split('\n');
--- a/src/commands/processes.ts
+++ b/src/commands/processes.ts
@@ -1,4 +1,4 @@
-/** The commands that run a process: entry, sidecar, stand-ins. */
+/** The commands that run a process: entry, sidecar and stand-ins. */
 import type {Command} from 'commander';
 import * as v from 'valibot';
 import {addressSchema} from '../http/address';
@@ -8,7 +8,6 @@
 import * as settings from '../settings/types';
 import {runUntilSignal} from './run';
 
-/** Adds `entry`. */
 export function addEntry(program: Command): void {
   const command = program
     .command('entry')
@@ -21,7 +20,6 @@
   });
 }
 
-/** Adds `sidecar`. */
 export function addSidecar(program: Command): void {
   const command = program
     .command('sidecar')
@@ -67,7 +65,9 @@
   },
 } as const satisfies settings.SettingTable;
 
-/** Adds `standin platform|engine|service`. */
+/**
+ * Adds the commands `standin platform`, `standin engine`, `standin service`.
+ */
 export function addStandins(program: Command): void {
   const parent = program
     .command('standin')
--- a/src/commands/run.ts
+++ b/src/commands/run.ts
@@ -1,16 +1,17 @@
-/** Running a long-lived process until a signal stops it. */
+/** Runs a process until it receives a signal to stop. */
 import {Log} from '../observability/log';
 import {EXIT} from '../settings/command';
 
-/** A process that can be stopped as planned, or at once. */
 export interface Runnable {
   open(): Promise<unknown>;
+  /** Stops gracefully. */
   stop(): Promise<void>;
 }
 
 /**
- * Runs until SIGTERM or SIGINT, then stops as planned. A second signal ends
- * the process at once.
+ * Runs until SIGTERM or SIGINT, then stops gracefully. A second signal ends the
+ * process at once, with `EXIT.failed`; a failure to open with
+ * `EXIT.unavailable`.
  */
 export async function runUntilSignal(
   runnable: Runnable,
@@ -38,7 +39,7 @@
   }
 }
 
-/** A stopped process must not linger for a timer or an idle socket. */
+/** Exits even if timers or idle sockets are still open. */
 function endProcess(code: number): never {
   // eslint-disable-next-line n/no-process-exit
   process.exit(code);
--- a/src/commands/status.ts
+++ b/src/commands/status.ts
@@ -1,10 +1,10 @@
-/** What `status` and `explain` show. */
+/** Data and output of the `status` and `explain` commands. */
 import type {Instance} from '../platform/types';
 import type {JournalEntry} from '../requests/journal';
 import type {RpcClient} from '../rpc/client';
 import * as targetsApp from '../targets/app';
 
-/** One process. */
+/** Status of one process; its load is null if unknown. */
 export interface StatusRow {
   readonly id: string;
   readonly hall: string;
@@ -19,7 +19,10 @@
 
 const REPORT_TIMEOUT_MS = 1_000;
 
-/** Asks every listed sidecar for its own word. */
+/**
+ * Queries each listed sidecar for its state and load. Entries are not queried:
+ * their state comes from the list.
+ */
 export function fetchStatusRows(
   rpc: RpcClient,
   instances: readonly Instance[],
@@ -33,9 +36,9 @@
 ): Promise<StatusRow> {
   const {id, hall, role, address, serves} = instance;
   const base = {id, hall, role, address, serves};
-  const none = {running: null, queued: null, stepMs: null};
+  const noLoad = {running: null, queued: null, stepMs: null};
   if (role === 'entry') {
-    return {...base, ...none, state: instance.state};
+    return {...base, ...noLoad, state: instance.state};
   }
   const answer = await rpc.call(
     address,
@@ -44,16 +47,16 @@
     REPORT_TIMEOUT_MS,
   );
   if (!answer.ok) {
-    return {...base, ...none, state: `no answer: ${answer.error.kind}`};
+    return {...base, ...noLoad, state: `no answer: ${answer.error.kind}`};
   }
   const {state, load} = answer.value;
   const {running, queued, stepMs} = load;
   return {...base, state, running, queued, stepMs};
 }
 
-/** Rows as a table for people. */
+/** Formats rows as a table in plain text. */
 export function formatTable(rows: readonly StatusRow[]): string {
-  const heads = [
+  const columns = [
     'id',
     'hall',
     'role',
@@ -65,10 +68,10 @@
     'stepMs',
   ] as const;
   const lines = [
-    [...heads] as string[],
-    ...rows.map(row => heads.map(head => String(row[head] ?? '-'))),
+    [...columns] as string[],
+    ...rows.map(row => columns.map(column => String(row[column] ?? '-'))),
   ];
-  const widths = heads.map((_, column) =>
+  const widths = columns.map((_, column) =>
     Math.max(...lines.map(line => line[column]!.length)),
   );
   return lines
@@ -81,7 +84,7 @@
     .join('\n');
 }
 
-/** A request's decisions for people. */
+/** Formats the decisions made for a request as plain text. */
 export function formatJournal(entry: JournalEntry): string {
   const lines = [
     `${entry.request}  ${entry.what}  account ${entry.account}`,
--- a/src/observability/catalogue.test.ts
+++ b/src/observability/catalogue.test.ts
@@ -5,7 +5,7 @@
 const ROOT = path.join(__dirname, '..', '..');
 const page = fs.readFileSync(path.join(ROOT, 'docs', 'EVENTS.md'), 'utf8');
 
-/** Every source file outside tests. */
+/** Contents of all source files except tests. */
 function readSources(folder: string): string {
   return fs
     .readdirSync(folder, {withFileTypes: true})
@@ -20,28 +20,28 @@
     .join('\n');
 }
 
-describe('the catalogue of events', () => {
+describe('event catalogue', () => {
   const rows = page
     .split('\n')
     .filter(line => line.startsWith('| FC'))
     .map(line => line.split('|').map(cell => cell.trim()));
 
-  it('has each event on the page, with its level and text', () => {
+  it('matches the rows of docs/EVENTS.md in number, level and text', () => {
     const onPage = rows.map(row => row.slice(1, 4));
     const inCode = Object.values(EVENTS).map(e => [e.id, e.level, e.text]);
     expect(onPage).toEqual(inCode);
   });
 
-  it('says for each event what an operator does', () => {
+  it('documents an operator action for each event', () => {
     expect(rows.filter(row => (row[5] ?? '') === '')).toEqual([]);
   });
 
-  it('gives no number twice', () => {
+  it('has unique event numbers', () => {
     const ids = Object.values(EVENTS).map(entry => entry.id);
     expect(new Set(ids).size).toBe(ids.length);
   });
 
-  it('lists no event that the code never writes', () => {
+  it('contains only events that the code logs', () => {
     const sources = readSources(path.join(ROOT, 'src'));
     const unused = Object.keys(EVENTS).filter(
       name => !sources.includes(`'${name}'`),
--- a/src/observability/catalogue.ts
+++ b/src/observability/catalogue.ts
@@ -1,9 +1,8 @@
 /**
- * The numbered log events. docs/EVENTS.md explains each; a test holds the
- * page against this table.
+ * The numbered log events, documented in docs/EVENTS.md. A test compares that
+ * page with this table.
  */
 
-/** How loud an event is. */
 export type Level = 'info' | 'warn' | 'error';
 
 interface EventEntry {
@@ -12,7 +11,7 @@
   readonly text: string;
 }
 
-/** Every event by name. Numbers are never used again for another event. */
+/** All events by name. Numbers of removed events must not be reused. */
 export const EVENTS = {
   processReady: {id: 'FC1001', level: 'info', text: 'process is ready'},
   processStopping: {id: 'FC1002', level: 'info', text: 'process is stopping'},
@@ -223,5 +222,4 @@
   rpcRejected: {id: 'FC8001', level: 'warn', text: 'RPC of the wrong shape'},
 } as const satisfies Record<string, EventEntry>;
 
-/** Name of a catalogued event. */
 export type EventName = keyof typeof EVENTS;
--- a/src/observability/line-writer.ts
+++ b/src/observability/line-writer.ts
@@ -1,13 +1,11 @@
 /**
- * Writes log lines to a file descriptor without ever waiting for its reader:
- * one write is under way at a time, lines queue behind it up to a cap, and
- * what does not fit is dropped and counted.
+ * Writes log lines to a file descriptor asynchronously, one write at a time.
+ * Further lines are queued; lines that do not fit into the queue are dropped
+ * and counted.
  */
 import * as fs from 'node:fs';
 
-/** Bytes that may wait for a slow reader. */
 const MAX_QUEUED_BYTES = 256 * 1024;
-/** Pause before a full pipe is tried again, in milliseconds. */
 const FULL_PIPE_RETRY_DELAY_MS = 20;
 
 export class LineWriter {
@@ -19,7 +17,7 @@
 
   constructor(private readonly descriptor: number) {}
 
-  /** Queues a line; false where it was dropped. */
+  /** Queues a line; false if it was dropped. */
   write(line: string): boolean {
     if (this.queuedBytes + line.length > MAX_QUEUED_BYTES) {
       this.dropped += 1;
@@ -34,13 +32,13 @@
     return true;
   }
 
-  /** Writes what waits, as far as the reader takes it, before an exit. */
+  /** Writes queued lines synchronously before an exit, as far as possible. */
   flushNow(): void {
     const text = this.takeQueued();
     try {
       fs.writeSync(this.descriptor, text);
     } catch {
-      // A reader that is gone or slow must not hold up the exit.
+      // A closed or full pipe must not delay the exit.
       this.dropped += 1;
     }
   }
--- a/src/observability/log-rate-limiter.ts
+++ b/src/observability/log-rate-limiter.ts
@@ -1,49 +1,49 @@
 /**
- * Bounds the log of one process. Under the budget every line is written; over
- * it, ordinary lines of requests are kept for one id in eight, chosen by the
- * id alone, so that all processes keep the same requests. Warnings and errors
- * are kept up to twice the budget.
+ * Limits the rate of log lines of one process. Above the unsampled rate, up to
+ * twice that rate, only warnings, errors and a sample of the requests' lines
+ * are written; beyond that, all lines are dropped. Requests are sampled by the
+ * hash of their id, so that all processes keep the same ones.
  */
 import * as murmurhash from 'murmurhash';
 
-/** Lines in a second that are written whatever they say. */
+/** Rate up to which every line is written. */
 export const UNSAMPLED_LINES_PER_SECOND = 300;
-/** Of ordinary requests, one in so many is kept over the budget. */
+/** One request in this many is sampled. */
 const SAMPLE_ONE_IN = 8;
 const SECOND_MS = 1_000;
 
-/** What the budget needs to know of a line. */
+/** Properties of a log line that decide whether it is written. */
 export interface LogLine {
   readonly isInfo: boolean;
-  /** Id of the request that the line is about; undefined: none. */
+  /** Id of the request that the line is about, if any. */
   readonly request: string | undefined;
 }
 
 export class LogRateLimiter {
-  /** Lines left out since it was last asked for. */
+  /** Lines dropped since the last call of `takeDropped`. */
   private dropped = 0;
   private windowStart = -Infinity;
   private written = 0;
 
-  /** True where the line is to be written; `now` is monotonic. */
+  /** True if the line should be written. `now` is in monotonic milliseconds. */
   admit(line: LogLine, now: number): boolean {
     if (now - this.windowStart >= SECOND_MS) {
       this.windowStart = now;
       this.written = 0;
     }
-    const isKept =
+    const isAdmitted =
       this.written < UNSAMPLED_LINES_PER_SECOND ||
       (this.written < 2 * UNSAMPLED_LINES_PER_SECOND &&
         (!line.isInfo || isSampled(line.request)));
-    if (isKept) {
+    if (isAdmitted) {
       this.written += 1;
     } else {
       this.dropped += 1;
     }
-    return isKept;
+    return isAdmitted;
   }
 
-  /** Lines left out since the last call. */
+  /** Returns the number of lines dropped since the last call. */
   takeDropped(): number {
     const {dropped} = this;
     this.dropped = 0;
--- a/src/observability/metrics.ts
+++ b/src/observability/metrics.ts
@@ -1,12 +1,12 @@
 /**
- * Histograms by client account and class, and counters. Histograms are
- * bounded in number: accounts beyond the cap share one named `other`.
+ * Counters, and histograms by client account and request class. Accounts beyond
+ * `MAX_ACCOUNTS` share the label `other`, which bounds the number of
+ * histograms.
  */
-// Not the library's index: loading what reads and writes logs of histograms would
-// lengthen each start.
+// The library's index would also load its log reader and writer, which slows
+// down each start.
 import * as hdr from 'hdr-histogram-js/dist/Int32Histogram';
 
-/** Accounts with histograms of their own. */
 const MAX_ACCOUNTS = 64;
 const OTHER_ACCOUNT = 'other';
 const MICROSECONDS_PER_MS = 1_000;
@@ -14,7 +14,7 @@
 const SIGNIFICANT_DIGITS = 2;
 const QUANTILES = [0.5, 0.95, 0.99] as const;
 
-/** What is timed. All in milliseconds. */
+/** Kinds of recorded durations. */
 export type Timing =
   | 'first_token'
   | 'between_tokens'
@@ -25,7 +25,7 @@
   | 'reading'
   | 'arming';
 
-/** One line of the metrics page. */
+/** One sample of the metrics page. */
 export interface Sample {
   readonly name: string;
   readonly labels: Readonly<Record<string, string>>;
@@ -38,15 +38,14 @@
   private readonly accounts = new Set<string>();
   private readonly counters = new Map<string, Sample & {value: number}>();
 
-  /** Notes a duration in milliseconds. */
   recordDuration(
     timing: Timing,
     account: string,
-    klass: string,
+    requestClass: string,
     ms: number,
   ): void {
-    const known = this.accountLabel(account);
-    const name = `${timing} ${known} ${klass}`;
+    const accountLabel = this.accountLabel(account);
+    const name = `${timing} ${accountLabel} ${requestClass}`;
     let histogram = this.histograms.get(name);
     if (histogram === undefined) {
       histogram = new hdr.default(
@@ -55,30 +54,33 @@
         SIGNIFICANT_DIGITS,
       );
       this.histograms.set(name, histogram);
-      this.labelsOf.set(name, {timing, account: known, class: klass});
+      this.labelsOf.set(name, {
+        timing,
+        account: accountLabel,
+        class: requestClass,
+      });
     }
-    const us = Math.round(Math.max(ms, 0) * MICROSECONDS_PER_MS);
-    histogram.recordValue(Math.min(us, MAX_DURATION_MICROSECONDS));
+    const microseconds = Math.round(Math.max(ms, 0) * MICROSECONDS_PER_MS);
+    histogram.recordValue(Math.min(microseconds, MAX_DURATION_MICROSECONDS));
   }
 
-  /** Adds to a counter. */
+  /** Increments the counter with this name and these labels by `by`. */
   count(name: string, labels: Record<string, string> = {}, by = 1): void {
     const key = `${name} ${JSON.stringify(labels)}`;
-    const held = this.counters.get(key);
-    this.counters.set(key, {name, labels, value: (held?.value ?? 0) + by});
+    const counter = this.counters.get(key);
+    this.counters.set(key, {name, labels, value: (counter?.value ?? 0) + by});
   }
 
-  /** Notes time spent in an admission queue. */
+  /** Records milliseconds spent in an admission queue. */
   recordQueueTime(account: string, ms: number): void {
     this.recordDuration('queue', account, 'all', ms);
   }
 
-  /** Notes a refusal. */
   countRefusal(account: string, kind: string): void {
     this.count('refusals_total', {account: this.accountLabel(account), kind});
   }
 
-  /** The sum of a counter over all its labels. */
+  /** Sum of a counter over all its labels. */
   total(name: string): number {
     let sum = 0;
     for (const counter of this.counters.values()) {
@@ -87,18 +89,18 @@
     return sum;
   }
 
-  /** All lines. */
+  /** All counters, and the quantiles and counts of all histograms. */
   samples(): Sample[] {
     const samples: Sample[] = [...this.counters.values()];
     for (const [name, histogram] of this.histograms) {
       const {timing, ...labels} = this.labelsOf.get(name)!;
       const base = `${timing}_ms`;
       for (const quantile of QUANTILES) {
-        const us = histogram.getValueAtPercentile(quantile * 100);
+        const microseconds = histogram.getValueAtPercentile(quantile * 100);
         samples.push({
           name: base,
           labels: {...labels, quantile: String(quantile)},
-          value: us / MICROSECONDS_PER_MS,
+          value: microseconds / MICROSECONDS_PER_MS,
         });
       }
       samples.push({
--- a/src/observability/prometheus.ts
+++ b/src/observability/prometheus.ts
@@ -1,15 +1,18 @@
-/** The metrics page. The library is loaded when the page is first asked for. */
+/**
+ * Formats the metrics page. The Prometheus library is loaded on the first
+ * request, not at the start.
+ */
 import type {Sample} from './metrics';
 
 const PREFIX = 'ferrycleat_';
 
-/** A page and its content type. */
+/** A metrics page; `type` is its content type. */
 export interface MetricsPage {
   readonly type: string;
   readonly text: string;
 }
 
-/** Prints samples in Prometheus' text format. */
+/** Formats samples in the Prometheus text format. */
 export async function formatMetrics(
   samples: readonly Sample[],
 ): Promise<MetricsPage> {
