--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -8,7 +8,7 @@
   Demand,
   Plan,
   PlacementPolicy,
-  PlacementInput,
+  PolicyInput,
   PlacementWeights,
 } from '../src/placement/types';
 import * as random from '../src/random';
@@ -101,7 +101,7 @@
 /** Plans, and notes how long the loop was held without a break. */
 async function planTimed(
   policy: PlacementPolicy,
-  situation: PlacementInput,
+  situation: PolicyInput,
   heldMs: number[],
   weights: PlacementWeights,
 ): Promise<Plan | null> {
@@ -136,7 +136,7 @@
   for (let period = 0; period < PERIODS; period += 1) {
     const demand = drifting.at(period);
     if (seen !== undefined) {
-      const situation: PlacementInput = {
+      const situation: PolicyInput = {
         map: {version: period, layers},
         demand: seen,
         slowness,
--- a/src/placement/load.ts
+++ b/src/placement/load.ts
@@ -1,5 +1,5 @@
 /** Loads of the ranks under an expert map, and comparison of maps. */
-import type {Demand, Move, PlacementInput} from './types';
+import type {Demand, Move, PolicyInput} from './types';
 
 /** By rank: the demand it serves times its slowness. */
 export function rankLoads(
@@ -60,7 +60,7 @@
  */
 export function isValidPlacement(
   layers: readonly (readonly (readonly number[])[])[],
-  input: Pick<PlacementInput, 'slowness' | 'slotsPerLayer'>,
+  input: Pick<PolicyInput, 'slowness' | 'slotsPerLayer'>,
 ): boolean {
   return layers.every(experts => {
     const heldCounts = new Array<number>(input.slowness.length).fill(0);
--- a/src/placement/planner.ts
+++ b/src/placement/planner.ts
@@ -10,7 +10,7 @@
 import {DecayedDemand, sumCounts} from './demand';
 import * as load from './load';
 import {GreedyImprovement} from './policies';
-import type {Move, PlacementInput, PlacementWeights} from './types';
+import type {Move, PolicyInput, PlacementWeights} from './types';
 
 /** Work counters and step times reported by one rank. */
 export interface RankReading {
@@ -101,7 +101,7 @@
   private buildInput(
     map: ExpertMap,
     ranks: readonly RankReading[],
-  ): PlacementInput {
+  ): PolicyInput {
     const demand = this.demand!.demand;
     const uniform = new Array<number>(ranks.length).fill(1);
     const expected = load.rankLoads(map.layers, demand, uniform);
@@ -137,7 +137,7 @@
 
 function weightsOf(
   cfg: PlacementSettings,
-  input: PlacementInput,
+  input: PolicyInput,
   ranks: readonly RankReading[],
 ): PlacementWeights {
   const stepMs = Math.max(...ranks.map(rank => rank.stepMs), 1);
--- a/src/placement/policies.test.ts
+++ b/src/placement/policies.test.ts
@@ -1,7 +1,7 @@
 import * as fc from 'fast-check';
 import * as load from './load';
 import {GreedyImprovement, Rebuild} from './policies';
-import type {PlacementInput, PlacementWeights} from './types';
+import type {PolicyInput, PlacementWeights} from './types';
 
 const WEIGHTS: PlacementWeights = {
   skew: 1,
@@ -22,27 +22,25 @@
     }),
     slowFactor: fc.double({min: 1, max: 2, noNaN: true}),
   })
-  .map(
-    ({ranks, perRank, layers, spare, demands, slowFactor}): PlacementInput => {
-      const experts = ranks * perRank;
-      const slowness = new Array<number>(ranks).fill(1);
-      slowness[0] = slowFactor;
-      return {
-        map: {
-          version: 1,
-          layers: load.roundRobinLayers(layers, experts, ranks),
-        },
-        demand: Array.from({length: layers}, (_, layer) =>
-          Float64Array.from(
-            {length: experts},
-            (__, expert) => demands[(layer * 7 + expert) % demands.length]!,
-          ),
+  .map(({ranks, perRank, layers, spare, demands, slowFactor}): PolicyInput => {
+    const experts = ranks * perRank;
+    const slowness = new Array<number>(ranks).fill(1);
+    slowness[0] = slowFactor;
+    return {
+      map: {
+        version: 1,
+        layers: load.roundRobinLayers(layers, experts, ranks),
+      },
+      demand: Array.from({length: layers}, (_, layer) =>
+        Float64Array.from(
+          {length: experts},
+          (__, expert) => demands[(layer * 7 + expert) % demands.length]!,
         ),
-        slowness,
-        slotsPerLayer: perRank + spare,
-      };
-    },
-  );
+      ),
+      slowness,
+      slotsPerLayer: perRank + spare,
+    };
+  });
 
 describe('placing experts', () => {
   it('gives every expert a copy and no rank more than its slots', () => {
--- a/src/placement/policies.ts
+++ b/src/placement/policies.ts
@@ -14,7 +14,7 @@
 /** Places every expert from scratch, each on the least loaded rank. */
 export class Rebuild extends types.PlacementPolicy {
   plan(
-    input: types.PlacementInput,
+    input: types.PolicyInput,
     weights: types.PlacementWeights,
   ): types.Plan | null {
     const {map, demand, slowness, slotsPerLayer} = input;
@@ -133,7 +133,7 @@
  */
 export class GreedyImprovement extends types.PlacementPolicy {
   plan(
-    input: types.PlacementInput,
+    input: types.PolicyInput,
     weights: types.PlacementWeights,
   ): types.Plan | null {
     const state = new PlacementState(input, weights.msPerDemand);
@@ -149,7 +149,7 @@
    * the duration of each slice.
    */
   async planInSlices(
-    input: types.PlacementInput,
+    input: types.PolicyInput,
     weights: types.PlacementWeights,
     onSlice: (milliseconds: number) => void = () => undefined,
   ): Promise<types.Plan | null> {
@@ -196,7 +196,7 @@
 
 function toPlan(
   state: PlacementState,
-  input: types.PlacementInput,
+  input: types.PolicyInput,
   weights: types.PlacementWeights,
 ): types.Plan | null {
   const plan = buildPlan(input, weights, state.layers);
@@ -278,7 +278,7 @@
   private readonly held: number[][][];
 
   constructor(
-    private readonly input: types.PlacementInput,
+    private readonly input: types.PolicyInput,
     private readonly msPerDemand: number,
   ) {
     const {map, demand, slowness} = input;
@@ -463,7 +463,7 @@
 }
 
 function buildPlan(
-  input: types.PlacementInput,
+  input: types.PolicyInput,
   weights: types.PlacementWeights,
   layers: number[][][],
 ): types.Plan {
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -5,7 +5,7 @@
 export type Demand = readonly Float64Array[];
 
 /** The state of a group that a placement is planned for. */
-export interface PlacementInput {
+export interface PolicyInput {
   readonly map: ExpertMap;
   readonly demand: Demand;
   /** By rank: time per token relative to the median rank, which is 1. */
@@ -45,8 +45,5 @@
 
 export abstract class PlacementPolicy {
   /** Returns null if the map in force should stay. */
-  abstract plan(
-    situation: PlacementInput,
-    weights: PlacementWeights,
-  ): Plan | null;
+  abstract plan(situation: PolicyInput, weights: PlacementWeights): Plan | null;
 }
