--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -22,27 +22,27 @@
 import {IDLE_LOAD} from '../src/targets/types';
 import {DEMO_DOCUMENTS} from '../src/commands/demo';
 import * as hop from './hop';
-import type {Bench} from './main';
+import type {Benchmark} from './main';
 
 const ACCOUNT_COUNTS = [770, 7_700];
 const TARGET_COUNTS = [100, 1_000, 3_200];
-const SUBSET = 24;
+const SUBSET_SIZE = 24;
 const WARM_UP_MESSAGES = 1_500;
-const MESSAGES = 1_500;
-const HALLS = 6;
+const MEASURED_MESSAGES = 1_500;
+const HALL_COUNT = 6;
 const PROCESS_COUNTS = [10, 40, 100];
 /** Long enough for every first watch to end: only watchers go on. */
 const SETTLE_MS = 26_000;
-const WATCH_MS = 20_000;
+const MEASURE_MS = 20_000;
 const KILOBYTE = 1_024;
 const MEGABYTE = KILOBYTE * KILOBYTE;
 
-function heap(): number {
+function heapUsedBytes(): number {
   global.gc?.();
   return process.memoryUsage().heapUsed;
 }
 
-function accountObjects(count: number): StoredObject[] {
+function makeAccountObjects(count: number): StoredObject[] {
   const parsed = parse.parseFile(DEMO_DOCUMENTS);
   const documents = parsed.ok ? parsed.value : [];
   const change = (document: unknown) => ({
@@ -72,39 +72,39 @@
 }
 
 function measureAccounts(count: number) {
-  const objects = accountObjects(count);
+  const objects = makeAccountObjects(count);
   const bytes = JSON.stringify(objects).length;
   const copy = JSON.parse(JSON.stringify(objects)) as StoredObject[];
   objects.length = 0;
-  const before = heap();
+  const before = heapUsedBytes();
   const replica = new Replica();
   const begunAt = performance.now();
   replica.mergeListing({revision: count + 2, items: copy, removed: []});
   const fillMs = performance.now() - begunAt;
-  const held = heap() - before;
+  const held = heapUsedBytes() - before;
   const oneMs = measureOneChange(replica, count);
   return {
     accounts: replica.accountCount,
     bytesPerAccountOnTheWire: bytes / count,
     heapBytesPerAccountBesideTheObject: held / count,
-    objectHeapBytesPerAccount: objectHeap(count),
+    objectHeapBytesPerAccount: objectHeapBytes(count),
     fillMs,
     oneChangeMs: oneMs,
   };
 }
 
-function objectHeap(count: number): number {
-  const before = heap();
-  const text = JSON.stringify(accountObjects(count));
+function objectHeapBytes(count: number): number {
+  const before = heapUsedBytes();
+  const text = JSON.stringify(makeAccountObjects(count));
   const held = JSON.parse(text) as StoredObject[];
-  const bytes = heap() - before - text.length;
+  const bytes = heapUsedBytes() - before - text.length;
   return held.length > 0 ? bytes / count : 0;
 }
 
 /** Processor time of one accepted change in a full copy. */
 function measureOneChange(replica: Replica, count: number): number {
   const CHANGES = 200;
-  const [, sample] = accountObjects(1);
+  const [, sample] = makeAccountObjects(1);
   const begunAt = performance.now();
   for (let at = 0; at < CHANGES; at += 1) {
     replica.mergeListing({
@@ -116,10 +116,10 @@
   return (performance.now() - begunAt) / CHANGES;
 }
 
-function instances(count: number): Instance[] {
+function makeInstances(count: number): Instance[] {
   return Array.from({length: count}, (_, at) => ({
     id: `target-${at}`,
-    hall: `hall-${at % HALLS}`,
+    hall: `hall-${at % HALL_COUNT}`,
     role: 'sidecar' as const,
     address: `10.0.${at >> 8}.${at & 255}:7000`,
     state: 'live' as const,
@@ -130,10 +130,10 @@
 }
 
 function measureTargets(count: number) {
-  const list = instances(count);
+  const list = makeInstances(count);
   const listBytes = JSON.stringify(list).length;
-  const before = heap();
-  const directory = new TargetDirectory('entry-0', () => SUBSET);
+  const before = heapUsedBytes();
+  const directory = new TargetDirectory('entry-0', () => SUBSET_SIZE);
   const members = directory.applyInstances(list);
   for (const member of members) {
     directory.applyReport(
@@ -146,9 +146,9 @@
       1,
     );
   }
-  const held = heap() - before;
+  const held = heapUsedBytes() - before;
   const begunAt = performance.now();
-  chooseSubset('entry-1', list, SUBSET);
+  chooseSubset('entry-1', list, SUBSET_SIZE);
   const chooseMs = performance.now() - begunAt;
   return {
     targets: count,
@@ -185,7 +185,7 @@
     await client.call(`127.0.0.1:${port}`, method, params);
   }
   const before = process.cpuUsage();
-  for (let sent = 0; sent < MESSAGES; sent += 1) {
+  for (let sent = 0; sent < MEASURED_MESSAGES; sent += 1) {
     await client.call(`127.0.0.1:${port}`, method, params);
   }
   const used = process.cpuUsage(before);
@@ -193,10 +193,10 @@
   server.closeAllConnections();
   await new Promise(done => server.close(done));
   await new Promise(done => setTimeout(done, 50));
-  const cpuMs = (used.user + used.system) / 1_000 / MESSAGES;
+  const cpuMs = (used.user + used.system) / 1_000 / MEASURED_MESSAGES;
   return {
     method: method.name,
-    bytesBothWays: bytes / (MESSAGES + WARM_UP_MESSAGES),
+    bytesBothWays: bytes / (MEASURED_MESSAGES + WARM_UP_MESSAGES),
     cpuMsBothSides: cpuMs,
   };
 }
@@ -240,7 +240,7 @@
     await measureMessage(
       configurationApp.since,
       {version: 1},
-      {complete: 2, items: accountObjects(1).slice(1)},
+      {complete: 2, items: makeAccountObjects(1).slice(1)},
     ),
     await measureMessage(
       groupsApp.arm,
@@ -259,28 +259,28 @@
   try {
     fleet.start('platform', ['standin', 'platform', '--listen', platform]);
     fleet.start('target', ['standin', 'service', '--listen', target]);
-    await hop.until(
-      async () => (await hop.post(platform, '/standin/faults', {})) === 200,
+    await hop.waitUntil(
+      async () => (await hop.sendJson(platform, '/standin/faults', {})) === 200,
     );
     await hop.applySite(platform);
     for (let at = 0; at < count; at += 1) {
-      await place(fleet, platform, target, at, first + 2 + at);
+      await startSidecar(fleet, platform, target, at, first + 2 + at);
     }
     await new Promise(done => setTimeout(done, SETTLE_MS));
-    const callsBefore = await readCalls(platform);
+    const callsBefore = await readStoreCalls(platform);
     const names = [...fleet.children.keys()].filter(n => n.startsWith('side'));
     const ticksBefore = names.map(name => fleet.usage(name).ticks);
-    await new Promise(done => setTimeout(done, WATCH_MS));
-    const calls = await readCalls(platform);
+    await new Promise(done => setTimeout(done, MEASURE_MS));
+    const calls = await readStoreCalls(platform);
     const uses = names.map(name => fleet.usage(name));
-    const seconds = WATCH_MS / 1_000;
+    const seconds = MEASURE_MS / 1_000;
     const ticks = uses.map((use, at) => use.ticks - ticksBefore[at]!);
     const perSecond = (a: number, b: number) => (b - a) / seconds;
     const mean = (values: readonly number[]) =>
       values.reduce((sum, value) => sum + value, 0) / values.length;
     return {
       processes: count,
-      halls: Math.min(HALLS, count),
+      halls: Math.min(HALL_COUNT, count),
       rssMb: (mean(uses.map(use => use.rssKb)) * KILOBYTE) / MEGABYTE,
       maxRssMb: (Math.max(...uses.map(u => u.rssKb)) * KILOBYTE) / MEGABYTE,
       coreShare: mean(ticks) / 100 / seconds,
@@ -294,7 +294,7 @@
   }
 }
 
-async function place(
+async function startSidecar(
   fleet: hop.BenchFleet,
   platform: string,
   target: string,
@@ -302,19 +302,19 @@
   port: number,
 ): Promise<void> {
   const id = `side-${at}`;
-  const hall = `hall-${at % HALLS}`;
+  const hall = `hall-${at % HALL_COUNT}`;
   const address = `127.0.0.1:${port}`;
   const serves = 'model/assistant';
   fleet.start(id, [
     ...['sidecar', '--id', id, '--hall', hall, '--listen', address],
     ...['--platform', platform, '--target', target, '--serves', serves],
   ]);
-  await hop.post(platform, '/standin/instances', {
+  await hop.sendJson(platform, '/standin/instances', {
     ...{id, hall, address, serves, role: 'sidecar', state: 'live'},
   });
 }
 
-function readCalls(
+function readStoreCalls(
   platform: string,
 ): Promise<{reads: number; writes: number; watches: number}> {
   return new Promise((resolve, reject) => {
@@ -351,8 +351,8 @@
   return {accounts, targets, messages, processes};
 }
 
-export const bench: Bench = {
+export const benchmark: Benchmark = {
   name: 'capacity',
-  text: 'slopes for the capacity page',
+  description: 'slopes for the capacity page',
   run,
 };
--- a/bench/fake-engines.ts
+++ b/bench/fake-engines.ts
@@ -10,14 +10,14 @@
   readonly account: string;
   readonly prefix: string;
   readonly prefixTokens: number;
-  readonly ownTokens: number;
+  readonly suffixTokens: number;
   readonly outputTokens: number;
   readonly arrivedAt: number;
   /** Virtual time after which nobody wants the answer. */
   readonly deadlineAt: number;
-  prefillLeft: number;
-  outputLeft: number;
-  hitTokens: number;
+  prefillTokensLeft: number;
+  outputTokensLeft: number;
+  cachedTokens: number;
   firstTokenAt: number;
   endedAt: number;
 }
@@ -57,27 +57,27 @@
 
   get prefillTokens(): number {
     const all = [...this.running, ...this.waiting];
-    return all.reduce((sum, request) => sum + request.prefillLeft, 0);
+    return all.reduce((sum, request) => sum + request.prefillTokensLeft, 0);
   }
 
   /** One step's work; answers its time. */
   runStep(now: number, onEnd: (request: FakeRequest) => void): number {
     while (this.running.length < COSTS.maxRunning && this.waiting.length > 0) {
-      this.begin(this.waiting.shift()!);
+      this.startRequest(this.waiting.shift()!);
     }
     let budget: number = COSTS.chunkTokens;
     let decodes = 0;
     for (const request of [...this.running]) {
-      if (request.prefillLeft > 0) {
-        const read = Math.min(budget, request.prefillLeft);
-        request.prefillLeft -= read;
+      if (request.prefillTokensLeft > 0) {
+        const read = Math.min(budget, request.prefillTokensLeft);
+        request.prefillTokensLeft -= read;
         budget -= read;
         continue;
       }
       decodes += 1;
-      request.outputLeft -= 1;
+      request.outputTokensLeft -= 1;
       request.firstTokenAt ||= now;
-      if (request.outputLeft <= 0) {
+      if (request.outputTokensLeft <= 0) {
         request.endedAt = now;
         this.running.splice(this.running.indexOf(request), 1);
         onEnd(request);
@@ -93,11 +93,11 @@
     return this.stalledUntil > now ? this.stalledUntil - now : this.rankMs;
   }
 
-  private begin(request: FakeRequest): void {
+  private startRequest(request: FakeRequest): void {
     const held = this.cache.get(request.prefix) ?? 0;
-    request.hitTokens = Math.min(held, request.prefixTokens);
-    request.prefillLeft =
-      request.prefixTokens + request.ownTokens - request.hitTokens;
+    request.cachedTokens = Math.min(held, request.prefixTokens);
+    request.prefillTokensLeft =
+      request.prefixTokens + request.suffixTokens - request.cachedTokens;
     this.cache.delete(request.prefix);
     this.cache.set(request.prefix, request.prefixTokens);
     if (this.cache.size > COSTS.cachedPrefixes) {
@@ -110,8 +110,8 @@
 
 export class FakeGroup {
   stepMs: number = COSTS.baseMs;
-  readonly skews: number[] = [];
-  readonly steps: number[] = [];
+  readonly skewsMs: number[] = [];
+  readonly stepTimesMs: number[] = [];
   nextAt = 0;
 
   constructor(
@@ -123,14 +123,14 @@
   runStep(now: number, onEnd: (request: FakeRequest) => void): void {
     const times = this.ranks.map(rank => rank.runStep(now, onEnd));
     this.stepMs = Math.max(...times);
-    this.skews.push(this.stepMs - Math.min(...times));
-    this.steps.push(this.stepMs);
+    this.skewsMs.push(this.stepMs - Math.min(...times));
+    this.stepTimesMs.push(this.stepMs);
     this.nextAt = now + this.stepMs;
   }
 }
 
 /** Three groups of four ranks, a group to a hall. */
-export function makeFleet(): FakeGroup[] {
+export function makeGroups(): FakeGroup[] {
   const HALLS = ['hall-a', 'hall-b', 'hall-c'];
   const RANKS = 4;
   return HALLS.map(
@@ -160,11 +160,11 @@
       left -= one.share;
       return left < 0;
     }) ?? ACCOUNTS[0]!;
-  return requestOf(account.id, now, timeoutMs);
+  return drawAccountRequest(account.id, now, timeoutMs);
 }
 
 /** Draws a request of one account. */
-export function requestOf(
+export function drawAccountRequest(
   account: string,
   now: number,
   timeoutMs: number,
@@ -174,13 +174,13 @@
     account,
     prefix: `${account}/${popular}`,
     prefixTokens: 1_500,
-    ownTokens: 100 + random.below(300),
+    suffixTokens: 100 + random.below(300),
     outputTokens: 20 + random.below(80),
     arrivedAt: now,
     deadlineAt: now + timeoutMs,
-    prefillLeft: 1_500,
-    outputLeft: 20 + random.below(80),
-    hitTokens: 0,
+    prefillTokensLeft: 1_500,
+    outputTokensLeft: 20 + random.below(80),
+    cachedTokens: 0,
     firstTokenAt: 0,
     endedAt: 0,
   };
--- a/bench/hop.ts
+++ b/bench/hop.ts
@@ -7,7 +7,7 @@
 import * as fs from 'node:fs';
 import * as http from 'node:http';
 import * as path from 'node:path';
-import type {Bench} from './main';
+import type {Benchmark} from './main';
 import * as stats from './stats';
 
 const BUNDLE = path.join(process.cwd(), 'dist', 'ferrycleat.js');
@@ -15,14 +15,14 @@
 const CONCURRENCIES = [1, 32, 256];
 const ROUNDS = 4;
 const ROUND_MS = 1_000;
-const IDLE_MS = 8_000;
+const IDLE_MEASURE_MS = 8_000;
 const TICKS_PER_SECOND = 100;
 const KILOBYTE = 1_024;
 
 const agent = new http.Agent({keepAlive: true, maxSockets: 512});
 
 /** One small lookup; answers its time in milliseconds. */
-function lookUp(
+function timeLookup(
   address: string,
   urlPath: string,
   headers: http.OutgoingHttpHeaders,
@@ -47,7 +47,7 @@
   });
 }
 
-async function round(
+async function runRound(
   concurrency: number,
   one: () => Promise<number>,
 ): Promise<{times: number[]; perSecond: number}> {
@@ -64,7 +64,7 @@
 }
 
 /** Resident kilobytes and processor ticks of a process. */
-function usage(pid: number): {rssKb: number; ticks: number} {
+function readUsage(pid: number): {rssKb: number; ticks: number} {
   const status = fs.readFileSync(`/proc/${pid}/status`, 'utf8');
   const rss = /VmRSS:\s+(\d+) kB/.exec(status);
   const stat = fs.readFileSync(`/proc/${pid}/stat`, 'utf8');
@@ -85,7 +85,7 @@
   }
 
   usage(name: string): {rssKb: number; ticks: number} {
-    return usage(this.children.get(name)!.pid!);
+    return readUsage(this.children.get(name)!.pid!);
   }
 
   async close(): Promise<void> {
@@ -98,7 +98,7 @@
 }
 
 /** Posts JSON; resolves with the status, 0 where nothing answered. */
-export function post(
+export function sendJson(
   address: string,
   urlPath: string,
   document: unknown,
@@ -123,18 +123,18 @@
   });
 }
 
-export async function until(check: () => Promise<boolean>): Promise<void> {
-  const PATIENCE_MS = 30_000;
-  const giveUpAt = Date.now() + PATIENCE_MS;
+export async function waitUntil(check: () => Promise<boolean>): Promise<void> {
+  const TIMEOUT_MS = 30_000;
+  const giveUpAt = Date.now() + TIMEOUT_MS;
   while (!(await check()) && Date.now() < giveUpAt) {
     await new Promise(resolve => setTimeout(resolve, 50));
   }
 }
 
 const PORTS = {platform: 21080, ledger: 21081, sidecar: 21082, entry: 21083};
-const AUTH = {authorization: 'Bearer local-demo-key'};
+const AUTH_HEADERS = {authorization: 'Bearer local-demo-key'};
 
-function at(name: keyof typeof PORTS): string {
+function addressOf(name: keyof typeof PORTS): string {
   return `${HOST}:${PORTS[name]}`;
 }
 
@@ -149,80 +149,99 @@
 
 async function openFleet(): Promise<BenchFleet> {
   const fleet = new BenchFleet();
-  fleet.start('platform', ['standin', 'platform', '--listen', at('platform')]);
-  fleet.start('ledger', ['standin', 'service', '--listen', at('ledger')]);
-  await until(async () => (await post(at('platform'), '/standin/x', {})) > 0);
-  await applySite(at('platform'));
-  const common = ['--platform', at('platform'), '--hall', 'hall-a'];
+  fleet.start('platform', [
+    'standin',
+    'platform',
+    '--listen',
+    addressOf('platform'),
+  ]);
+  fleet.start('ledger', [
+    'standin',
+    'service',
+    '--listen',
+    addressOf('ledger'),
+  ]);
+  await waitUntil(
+    async () => (await sendJson(addressOf('platform'), '/standin/x', {})) > 0,
+  );
+  await applySite(addressOf('platform'));
+  const common = ['--platform', addressOf('platform'), '--hall', 'hall-a'];
   fleet.start('sidecar', [
-    ...['sidecar', '--id', 'ledger-0', '--listen', at('sidecar'), ...common],
-    ...['--target', at('ledger'), '--serves', 'service/ledger'],
+    ...[
+      'sidecar',
+      '--id',
+      'ledger-0',
+      '--listen',
+      addressOf('sidecar'),
+      ...common,
+    ],
+    ...['--target', addressOf('ledger'), '--serves', 'service/ledger'],
     ...['--capacity', '512'],
   ]);
   fleet.start('entry', [
-    ...['entry', '--id', 'entry-0', '--listen', at('entry'), ...common],
+    ...['entry', '--id', 'entry-0', '--listen', addressOf('entry'), ...common],
   ]);
   const list = (id: string, role: string, address: string, serves: string) =>
-    post(at('platform'), '/standin/instances', {
+    sendJson(addressOf('platform'), '/standin/instances', {
       ...{id, role, address, serves, hall: 'hall-a', state: 'live'},
     });
-  await list('ledger-0', 'sidecar', at('sidecar'), 'service/ledger');
-  await list('entry-0', 'entry', at('entry'), '');
-  await until(async () => {
-    const status = await post(
-      at('entry'),
+  await list('ledger-0', 'sidecar', addressOf('sidecar'), 'service/ledger');
+  await list('entry-0', 'entry', addressOf('entry'), '');
+  await waitUntil(async () => {
+    const status = await sendJson(
+      addressOf('entry'),
       '/ledger/balances/1',
       undefined,
       'GET',
-      AUTH,
+      AUTH_HEADERS,
     );
     return status === 200;
   });
   return fleet;
 }
 
-async function idle(fleet: BenchFleet) {
+async function measureIdle(fleet: BenchFleet) {
   const names = ['entry', 'sidecar'] as const;
   const before = names.map(name => fleet.usage(name).ticks);
-  await new Promise(resolve => setTimeout(resolve, IDLE_MS));
+  await new Promise(resolve => setTimeout(resolve, IDLE_MEASURE_MS));
   return Object.fromEntries(
     names.map((name, index) => {
       const {rssKb, ticks} = fleet.usage(name);
       const seconds = (ticks - before[index]!) / TICKS_PER_SECOND;
-      const share = seconds / (IDLE_MS / 1_000);
+      const share = seconds / (IDLE_MEASURE_MS / 1_000);
       return [name, {rssMb: rssKb / KILOBYTE, coreShare: share}];
     }),
   );
 }
 
 /** The runtime alone: a process that does nothing. */
-async function bareRuntimeMb(): Promise<number> {
+async function measureBareRuntimeMb(): Promise<number> {
   const child = childProcess.spawn(process.execPath, [
     '-e',
     'setTimeout(() => {}, 10000)',
   ]);
   await new Promise(resolve => setTimeout(resolve, 1_500));
-  const {rssKb} = usage(child.pid!);
+  const {rssKb} = readUsage(child.pid!);
   child.kill('SIGKILL');
   return rssKb / KILOBYTE;
 }
 
 async function run(): Promise<unknown> {
-  const bareMb = await bareRuntimeMb();
+  const bareMb = await measureBareRuntimeMb();
   const fleet = await openFleet();
   try {
-    const resting = await idle(fleet);
+    const resting = await measureIdle(fleet);
     const rows = [];
     for (const concurrency of CONCURRENCIES) {
       const straight: number[] = [];
       const through: number[] = [];
       const rates = {straight: 0, through: 0};
       for (let turn = 0; turn < ROUNDS; turn += 1) {
-        const a = await round(concurrency, () =>
-          lookUp(at('ledger'), '/balances/1', {}),
+        const a = await runRound(concurrency, () =>
+          timeLookup(addressOf('ledger'), '/balances/1', {}),
         );
-        const b = await round(concurrency, () =>
-          lookUp(at('entry'), '/ledger/balances/1', AUTH),
+        const b = await runRound(concurrency, () =>
+          timeLookup(addressOf('entry'), '/ledger/balances/1', AUTH_HEADERS),
         );
         straight.push(...a.times);
         through.push(...b.times);
@@ -252,8 +271,8 @@
   }
 }
 
-export const bench: Bench = {
+export const benchmark: Benchmark = {
   name: 'hop',
-  text: 'the cost of a hop, and of idle processes',
+  description: 'the cost of a hop, and of idle processes',
   run,
 };
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -3,37 +3,37 @@
 import * as random from '../src/random';
 
 /** One bench: runs, and answers what `--json` prints. */
-export interface Bench {
+export interface Benchmark {
   readonly name: string;
-  readonly text: string;
+  readonly description: string;
   run(): Promise<unknown>;
 }
 
 const DEFAULT_SEED = 7;
 
 /** Benches by name, each loaded when asked for. */
-const BENCHES: Readonly<Record<string, () => Promise<Bench>>> = {
-  processor: async () => (await import('./processor')).bench,
-  planning: async () => (await import('./planning')).bench,
-  placement: async () => (await import('./placement')).bench,
-  routing: async () => (await import('./routing')).bench,
-  overload: async () => (await import('./overload')).bench,
-  membership: async () => (await import('./membership')).bench,
-  hop: async () => (await import('./hop')).bench,
-  recovery: async () => (await import('./recovery')).bench,
-  capacity: async () => (await import('./capacity')).bench,
+const BENCHMARKS: Readonly<Record<string, () => Promise<Benchmark>>> = {
+  processor: async () => (await import('./processor')).benchmark,
+  planning: async () => (await import('./planning')).benchmark,
+  placement: async () => (await import('./placement')).benchmark,
+  routing: async () => (await import('./routing')).benchmark,
+  overload: async () => (await import('./overload')).benchmark,
+  membership: async () => (await import('./membership')).benchmark,
+  hop: async () => (await import('./hop')).benchmark,
+  recovery: async () => (await import('./recovery')).benchmark,
+  capacity: async () => (await import('./capacity')).benchmark,
 };
 
 async function main(): Promise<void> {
   const program = new Command('bench')
-    .argument('<name>', Object.keys(BENCHES).join(', '))
+    .argument('<name>', Object.keys(BENCHMARKS).join(', '))
     .option('--json', 'print one JSON document')
     .option('--seed <number>', 'seed of all random numbers', Number);
   program.parse(process.argv);
   const [name] = program.args;
-  const load = BENCHES[name ?? ''];
+  const load = BENCHMARKS[name ?? ''];
   if (load === undefined) {
-    program.error(`no bench ${name}; there are ${Object.keys(BENCHES)}`);
+    program.error(`no bench ${name}; there are ${Object.keys(BENCHMARKS)}`);
   }
   const options = program.opts<{json?: boolean; seed?: number}>();
   const seed = options.seed ?? DEFAULT_SEED;
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -6,19 +6,19 @@
 import type {Instance} from '../src/platform/types';
 import * as random from '../src/random';
 import {chooseSubset} from '../src/targets/directory';
-import type {Bench} from './main';
+import type {Benchmark} from './main';
 import * as stats from './stats';
 
-const SUBSET = 24;
-const SIZES = [
+const SUBSET_SIZE = 24;
+const FLEET_SIZES = [
   {targets: 15, entries: 4},
   {targets: 100, entries: 12},
   {targets: 1_000, entries: 50},
   {targets: 3_200, entries: 150},
 ];
-const CHANGES = 20;
+const CHANGES_PER_ENTRY = 20;
 
-function instances(count: number): Instance[] {
+function makeInstances(count: number): Instance[] {
   return Array.from({length: count}, (_, at) => ({
     id: `target-${at}`,
     hall: `hall-${at % 6}`,
@@ -36,34 +36,36 @@
 }
 
 /** Members that are in one set and not in the other. */
-function changed(before: Set<string>, after: Set<string>): number {
+function countAdded(before: Set<string>, after: Set<string>): number {
   return [...after].filter(id => !before.has(id)).length;
 }
 
-function drawSubset(list: readonly Instance[]): Instance[] {
+function drawRandomSubset(list: readonly Instance[]): Instance[] {
   const left = [...list];
   const drawn: Instance[] = [];
-  while (drawn.length < SUBSET && left.length > 0) {
+  while (drawn.length < SUBSET_SIZE && left.length > 0) {
     drawn.push(...left.splice(random.below(left.length), 1));
   }
   return drawn;
 }
 
 function measure(targets: number, entries: number) {
-  const list = instances(targets);
+  const list = makeInstances(targets);
   const users = new Map<string, number>(list.map(i => [i.id, 0]));
   const moved: number[] = [];
   const movedDrawn: number[] = [];
   for (let entry = 0; entry < entries; entry += 1) {
     const id = `entry-${entry}`;
-    const subset = idsOf(chooseSubset(id, list, SUBSET));
+    const subset = idsOf(chooseSubset(id, list, SUBSET_SIZE));
     subset.forEach(member => users.set(member, users.get(member)! + 1));
-    const drawn = idsOf(drawSubset(list));
-    for (let change = 0; change < CHANGES; change += 1) {
+    const drawn = idsOf(drawRandomSubset(list));
+    for (let change = 0; change < CHANGES_PER_ENTRY; change += 1) {
       const gone = random.below(list.length);
       const fewer = list.filter((_, at) => at !== gone);
-      moved.push(changed(subset, idsOf(chooseSubset(id, fewer, SUBSET))));
-      movedDrawn.push(changed(drawn, idsOf(drawSubset(fewer))));
+      moved.push(
+        countAdded(subset, idsOf(chooseSubset(id, fewer, SUBSET_SIZE))),
+      );
+      movedDrawn.push(countAdded(drawn, idsOf(drawRandomSubset(fewer))));
     }
   }
   const counts = [...users.values()];
@@ -76,16 +78,16 @@
     entriesPerTarget: stats.mean(counts),
     fewestEntriesPerTarget: Math.min(...counts),
     mostEntriesPerTarget: Math.max(...counts),
-    jainOfEntriesPerTarget: stats.jain(counts),
+    jainOfEntriesPerTarget: stats.jainIndex(counts),
   };
 }
 
 async function run(): Promise<unknown> {
-  return SIZES.map(({targets, entries}) => measure(targets, entries));
+  return FLEET_SIZES.map(({targets, entries}) => measure(targets, entries));
 }
 
-export const bench: Bench = {
+export const benchmark: Benchmark = {
   name: 'membership',
-  text: 'subsets of targets per entry',
+  description: 'subsets of targets per entry',
   run,
 };
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -6,29 +6,30 @@
  */
 import * as random from '../src/random';
 import {Admission} from '../src/requests/admission';
-import type {Bench} from './main';
+import type {Benchmark} from './main';
 import * as stats from './stats';
 
-const TARGETS = 3;
-const CAPACITY = 8;
-const SERVICE_MS = 20;
+const TARGET_COUNT = 3;
+const TARGET_CAPACITY = 8;
+const MEAN_SERVICE_MS = 20;
 const DEADLINE_MS = 300;
 const MAX_QUEUED = 64;
 const RUN_MS = 5_000;
 const DRAIN_MS = 500;
 const TICK_MS = 2;
-const QUIET_ACCOUNTS = 9;
+const QUIET_ACCOUNT_COUNT = 9;
 /** Part of what the targets can do that each quiet account asks for. */
 const QUIET_SHARE = 0.04;
-const MULTIPLES = [0.5, 0.8, 1, 1.5, 2, 4];
-const PER_SECOND = (TARGETS * CAPACITY * 1_000) / SERVICE_MS;
+const LOAD_MULTIPLES = [0.5, 0.8, 1, 1.5, 2, 4];
+const CAPACITY_PER_SECOND =
+  (TARGET_COUNT * TARGET_CAPACITY * 1_000) / MEAN_SERVICE_MS;
 
 interface Tally {
   offered: number;
   good: number;
   refused: number;
-  cameBack: number;
-  servedOnReturn: number;
+  retries: number;
+  servedRetries: number;
 }
 
 /** One fake target behind an admission. */
@@ -37,21 +38,24 @@
 
   constructor(isBounded: boolean) {
     this.admission = new Admission(() => ({
-      capacity: CAPACITY,
+      capacity: TARGET_CAPACITY,
       maxQueued: isBounded ? MAX_QUEUED : Infinity,
     }));
   }
 }
 
-class Run {
+class OverloadRun {
   readonly tallies = new Map<string, Tally>();
   readonly refusalMs: number[] = [];
   readonly goodMs: number[] = [];
   isOpen = true;
   private readonly targets: FakeTarget[];
 
-  constructor(private readonly isOurs: boolean) {
-    this.targets = Array.from({length: TARGETS}, () => new FakeTarget(isOurs));
+  constructor(private readonly isFairAndBounded: boolean) {
+    this.targets = Array.from(
+      {length: TARGET_COUNT},
+      () => new FakeTarget(isFairAndBounded),
+    );
   }
 
   async offer(account: string, returnTo?: FakeTarget): Promise<void> {
@@ -70,38 +74,38 @@
           : best,
       );
     const entered = await target.admission.admit({
-      account: this.isOurs ? account : 'all',
+      account: this.isFairAndBounded ? account : 'all',
       weight: 1,
       priority: 0,
       cost: 1,
       // Without bounds, a request waits however late it is.
       isReservedRetry: isReturn,
-      deadlineAt: this.isOurs ? deadlineAt : Date.now() + 3_600_000,
+      deadlineAt: this.isFairAndBounded ? deadlineAt : Date.now() + 3_600_000,
     });
     if (!entered.ok) {
       this.refusalMs.push(performance.now() - begunAt);
       tally.refused += 1;
       const {retryAfterMs} = entered.error;
       if (!isReturn && retryAfterMs !== undefined) {
-        setTimeout(() => this.comeBack(account, target), retryAfterMs);
+        setTimeout(() => this.retry(account, target), retryAfterMs);
       }
       return;
     }
-    const workMs = random.exponential(SERVICE_MS);
+    const workMs = random.exponential(MEAN_SERVICE_MS);
     await new Promise(resolve => setTimeout(resolve, workMs));
     entered.value.release();
     const tookMs = performance.now() - begunAt;
     if (tookMs <= DEADLINE_MS) {
       tally.good += 1;
-      tally.servedOnReturn += isReturn ? 1 : 0;
+      tally.servedRetries += isReturn ? 1 : 0;
       this.goodMs.push(tookMs);
     }
   }
 
   /** Times beyond the end of the run are not waited for. */
-  private comeBack(account: string, target: FakeTarget): void {
+  private retry(account: string, target: FakeTarget): void {
     if (this.isOpen) {
-      this.tallyOf(account).cameBack += 1;
+      this.tallyOf(account).retries += 1;
       void this.offer(account, target);
     }
   }
@@ -111,20 +115,21 @@
       offered: 0,
       good: 0,
       refused: 0,
-      cameBack: 0,
-      servedOnReturn: 0,
+      retries: 0,
+      servedRetries: 0,
     };
     this.tallies.set(account, held);
     return held;
   }
 }
 
-async function runOne(isOurs: boolean, multiple: number) {
-  const run = new Run(isOurs);
-  const quietRate = PER_SECOND * QUIET_SHARE * Math.min(multiple, 1);
-  const floodRate = PER_SECOND * multiple - quietRate * QUIET_ACCOUNTS;
+async function runAtMultiple(isOurs: boolean, multiple: number) {
+  const run = new OverloadRun(isOurs);
+  const quietRate = CAPACITY_PER_SECOND * QUIET_SHARE * Math.min(multiple, 1);
+  const floodRate =
+    CAPACITY_PER_SECOND * multiple - quietRate * QUIET_ACCOUNT_COUNT;
   const rates = [
-    ...Array.from({length: QUIET_ACCOUNTS}, (_, at) => ({
+    ...Array.from({length: QUIET_ACCOUNT_COUNT}, (_, at) => ({
       account: `quiet-${at}`,
       rate: quietRate,
     })),
@@ -149,7 +154,7 @@
   return summarize(run);
 }
 
-function summarize(run: Run) {
+function summarize(run: OverloadRun) {
   const all = [...run.tallies.entries()];
   const quiet = all.filter(([account]) => account !== 'flood');
   const sum = (pick: (tally: Tally) => number) =>
@@ -158,22 +163,22 @@
   return {
     offered: sum(t => t.offered),
     goodput: sum(t => t.good),
-    jainOfQuiet: stats.jain(quietKept),
+    jainOfQuiet: stats.jainIndex(quietKept),
     worstQuietKept: Math.min(...quietKept),
     refusalP99Ms: stats.quantile(run.refusalMs, 0.99),
-    servedOnReturn: sum(t => t.servedOnReturn) / (sum(t => t.cameBack) || 1),
-    cameBack: sum(t => t.cameBack),
+    servedOnReturn: sum(t => t.servedRetries) / (sum(t => t.retries) || 1),
+    cameBack: sum(t => t.retries),
     goodP95Ms: stats.quantile(run.goodMs, 0.95),
   };
 }
 
 async function run(): Promise<unknown> {
   const rows = [];
-  for (const multiple of MULTIPLES) {
+  for (const multiple of LOAD_MULTIPLES) {
     rows.push({
       multiple,
-      ours: await runOne(true, multiple),
-      unbounded: await runOne(false, multiple),
+      ours: await runAtMultiple(true, multiple),
+      unbounded: await runAtMultiple(false, multiple),
     });
   }
   const best = Math.max(...rows.map(row => row.ours.goodput));
@@ -184,8 +189,8 @@
   };
 }
 
-export const bench: Bench = {
+export const benchmark: Benchmark = {
   name: 'overload',
-  text: 'admission under overload',
+  description: 'admission under overload',
   run,
 };
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -13,19 +13,19 @@
 } from '../src/placement/types';
 import * as random from '../src/random';
 import * as stats from './stats';
-import type {Bench} from './main';
+import type {Benchmark} from './main';
 
 const LAYERS = 8;
 const EXPERTS = 128;
 const PERIODS = 96;
 /** Periods before any policy has seen enough to act on. */
 const WARM_UP_PERIODS = 8;
-const SAMPLED_STEPS = 20;
+const SAMPLED_STEPS_PER_PERIOD = 20;
 const STEP_TOKENS = 2_048;
 const BASE_STEP_MS = 4.5;
 /** Time of the whole batch's expert work, were it spread evenly. */
-const EXPERT_MS = 3;
-const PERIOD_STEPS = 4_000;
+const EXPERT_WORK_MS = 3;
+const STEPS_PER_PERIOD = 4_000;
 const SLOW_RANK = 1;
 const SLOW_FACTOR = 1.3;
 /** An expert's weights, and the rate at which the store gives them. */
@@ -33,9 +33,9 @@
 const STORE_MEGABYTES_PER_STEP = 2;
 
 /** Demand by period. */
-type Shape = 'disputes' | 'carriers';
+type DemandShape = 'disputes' | 'carriers';
 
-const FLEETS = {
+const FLEET_WEIGHTS = {
   /** Weighs skew more. */
   memberTopUp: {skew: 1, move: 25},
   /** Weighs moves more. */
@@ -47,7 +47,7 @@
   private readonly base: Float64Array[] = [];
   private readonly topics: number[][][] = [];
 
-  constructor(private readonly shape: Shape) {
+  constructor(private readonly shape: DemandShape) {
     for (let layer = 0; layer < LAYERS; layer += 1) {
       this.base.push(
         Float64Array.from({length: EXPERTS}, () => random.exponential(1) + 0.2),
@@ -64,9 +64,9 @@
     return this.base.map((base, layer) => {
       const demand = Float64Array.from(base);
       this.topics[layer]!.forEach((experts, topic) => {
-        const heat = this.heat(topic, period);
+        const topicDemand = this.heat(topic, period);
         experts.forEach(expert => {
-          demand[expert] = demand[expert]! + heat;
+          demand[expert] = demand[expert]! + topicDemand;
         });
       });
       return demand;
@@ -117,7 +117,7 @@
 async function runPolicy(
   policy: PlacementPolicy,
   weights: Pick<Weights, 'skew' | 'move'>,
-  shape: Shape,
+  shape: DemandShape,
   ranks: number,
   seed: number,
 ): Promise<Outcome> {
@@ -144,7 +144,7 @@
       };
       const plan = await planTimed(policy, situation, planMs, {
         ...weights,
-        horizonSteps: PERIOD_STEPS,
+        horizonSteps: STEPS_PER_PERIOD,
         msPerDemand: msPerDemand(seen, ranks),
       });
       if (plan !== null && plan.moves.length > 0) {
@@ -154,7 +154,11 @@
       }
     }
     const isCounted = period >= WARM_UP_PERIODS;
-    for (let step = 0; isCounted && step < SAMPLED_STEPS; step += 1) {
+    for (
+      let step = 0;
+      isCounted && step < SAMPLED_STEPS_PER_PERIOD;
+      step += 1
+    ) {
       const drawn = sampleStep(demand);
       const loads = load.rankLoads(layers, drawn, slowness);
       const scale = msPerDemand(drawn, ranks);
@@ -182,7 +186,7 @@
     (sum, layer) => sum + layer.reduce((a, b) => a + b, 0),
     0,
   );
-  return (EXPERT_MS * ranks) / total;
+  return (EXPERT_WORK_MS * ranks) / total;
 }
 
 /** The tokens of some steps, drawn by demand with their noise. */
@@ -205,10 +209,22 @@
         policy: PlacementPolicy,
         weights: {skew: number; move: number},
       ) => runPolicy(policy, weights, shape, ranks, seed);
-      const never = await one(new policies.NeverMove(), FLEETS.memberTopUp);
-      const rebuild = await one(new policies.Rebuild(), FLEETS.memberTopUp);
-      const member = await one(new policies.GainOverCost(), FLEETS.memberTopUp);
-      const lommebok = await one(new policies.GainOverCost(), FLEETS.lommebok);
+      const never = await one(
+        new policies.NeverMove(),
+        FLEET_WEIGHTS.memberTopUp,
+      );
+      const rebuild = await one(
+        new policies.Rebuild(),
+        FLEET_WEIGHTS.memberTopUp,
+      );
+      const member = await one(
+        new policies.GainOverCost(),
+        FLEET_WEIGHTS.memberTopUp,
+      );
+      const lommebok = await one(
+        new policies.GainOverCost(),
+        FLEET_WEIGHTS.lommebok,
+      );
       results.push({
         shape,
         ranks,
@@ -230,8 +246,8 @@
   return results;
 }
 
-export const bench: Bench = {
+export const benchmark: Benchmark = {
   name: 'placement',
-  text: 'expert placement on drifting demand',
+  description: 'expert placement on drifting demand',
   run,
 };
--- a/bench/planning.ts
+++ b/bench/planning.ts
@@ -14,10 +14,10 @@
 import type {Demand} from '../src/experts/plan-types';
 import * as random from '../src/random';
 import * as stats from './stats';
-import type {Bench} from './main';
+import type {Benchmark} from './main';
 
 /** A group as a site has it. */
-interface Site {
+interface GroupProfile {
   readonly ranks: number;
   readonly experts: number;
   readonly sets: number;
@@ -29,21 +29,21 @@
   readonly skew: number;
 }
 
-const SITES: readonly Site[] = [
-  site(12, 72, 4, 8, 3, 1, 1.3),
-  site(24, 96, 16, 5, 2, 5, 0.92),
-  site(63, 252, 8, 5, 2, 7, 0.66),
-  site(129, 258, 16, 3, 2, 15, 0.45),
+const GROUPS: readonly GroupProfile[] = [
+  makeGroup(12, 72, 4, 8, 3, 1, 1.3),
+  makeGroup(24, 96, 16, 5, 2, 5, 0.92),
+  makeGroup(63, 252, 8, 5, 2, 7, 0.66),
+  makeGroup(129, 258, 16, 3, 2, 15, 0.45),
 ];
 const DRIFTS = 8;
 /** Part of the experts that change their place in a drift. */
 const DRIFT_SHARE = 0.6;
-const MOST_CHANGES = 6;
+const MAX_CHANGES = 6;
 /** Least gain of a change, and relief of a copy, as the planner has them. */
 const MIN_GAIN = 0.12;
 const MIN_RELIEF = 0.36;
 
-function site(
+function makeGroup(
   ranks: number,
   experts: number,
   sets: number,
@@ -51,18 +51,18 @@
   spare: number,
   copiesPerRank: number,
   skew: number,
-): Site {
+): GroupProfile {
   return {ranks, experts, sets, places, spare, copiesPerRank, skew};
 }
 
-function skewed({experts, skew}: Site): Float64Array {
+function drawSkewedDemand({experts, skew}: GroupProfile): Float64Array {
   const order = random.sample([...Array(experts).keys()], experts);
   const demand = new Float64Array(experts);
   order.forEach((expert, at) => (demand[expert] = (at + 1) ** -skew));
   return demand;
 }
 
-function drifted(demand: Float64Array): Float64Array {
+function driftDemand(demand: Float64Array): Float64Array {
   const moved = [...demand.keys()].filter(() => random.unit() < DRIFT_SHARE);
   const shuffled = random.sample(moved, moved.length);
   const next = Float64Array.from(demand);
@@ -70,7 +70,7 @@
   return next;
 }
 
-interface DriftEnd {
+interface DriftResult {
   readonly before: number;
   readonly afterFirst: number;
   readonly afterAll: number;
@@ -80,10 +80,10 @@
 }
 
 function followDrift(
-  one: Site,
+  one: GroupProfile,
   from: plans.MapPlan['map'],
   demand: Demand,
-): DriftEnd {
+): DriftResult {
   const even = new Array<number>(one.ranks).fill(1);
   const limits = {...one, minRelief: MIN_RELIEF / one.ranks};
   const before = plans.imbalance(from, demand, even);
@@ -91,7 +91,7 @@
   const planMs: number[] = [];
   let copies = 0;
   let map = from;
-  while (after.length < MOST_CHANGES) {
+  while (after.length < MAX_CHANGES) {
     const begunAt = performance.now();
     const plan = plans.planMap(map, demand, even, limits);
     planMs.push(performance.now() - begunAt);
@@ -110,17 +110,17 @@
   return {before, afterFirst, afterAll, copies, planMs, map};
 }
 
-function runSite(one: Site): object {
+function runGroup(one: GroupProfile): object {
   let map: plans.MapPlan['map'] = packing.initialMap(one);
-  let demand = Array.from({length: one.sets}, () => skewed(one));
-  const ends: DriftEnd[] = [];
+  let demand = Array.from({length: one.sets}, () => drawSkewedDemand(one));
+  const ends: DriftResult[] = [];
   for (let drift = 0; drift < DRIFTS; drift += 1) {
     const end = followDrift(one, map, demand);
     ends.push(end);
     ({map} = end);
-    demand = demand.map(drifted);
+    demand = demand.map(driftDemand);
   }
-  const meanOf = (value: (end: DriftEnd) => number) =>
+  const meanOf = (value: (end: DriftResult) => number) =>
     Number(stats.mean(ends.slice(1).map(value)).toFixed(2));
   return {
     ranks: one.ranks,
@@ -133,8 +133,8 @@
 }
 
 /** Plans for each group over a row of drifts. */
-export const bench: Bench = {
+export const benchmark: Benchmark = {
   name: 'planning',
-  text: 'expert maps of 12 to 129 ranks on demand that drifts',
-  run: async () => SITES.map(runSite),
+  description: 'expert maps of 12 to 129 ranks on demand that drifts',
+  run: async () => GROUPS.map(runGroup),
 };
--- a/bench/processor.ts
+++ b/bench/processor.ts
@@ -16,7 +16,7 @@
 import * as path from 'node:path';
 import {SiteStandin, SiteProcess} from '../platform/site-standin';
 import type {GroupShape} from '../platform/rank-standin';
-import type {Bench} from './main';
+import type {Benchmark} from './main';
 
 const SHAPES: Readonly<Record<string, GroupShape>> = {
   12: {ranks: 12, sets: 4, experts: 72, places: 8},
@@ -24,50 +24,56 @@
   72: {ranks: 72, sets: 8, experts: 252, places: 5},
 };
 /** Three of them watch the store for the others. */
-const ENTRIES = 6;
+const ENTRY_COUNT = 6;
 /** Time until processes have found each other. */
-const START_MS = 4_000;
+const START_UP_MS = 4_000;
 const PHASE_MS = 8_000;
 /** Milliseconds between drifts of demand. */
-const DRIFT_MS = 3_500;
+const DRIFT_INTERVAL_MS = 3_500;
 /** Milliseconds between versions, and their routes. */
-const VERSIONS_MS = 270;
-const ROUTES = 1_560;
+const VERSION_INTERVAL_MS = 270;
+const ROUTE_COUNT = 1_560;
 /** Streams a second. */
-const RATE = 40;
+const STREAMS_PER_SECOND = 40;
 /** Ticks a second of the kernel's clock for processes. Source: proc(5). */
-const TICKS = 100;
+const TICKS_PER_SECOND = 100;
 
 interface Phase {
   readonly name: string;
   readonly isBusy: boolean;
   readonly hasDrifts: boolean;
-  readonly rate: number;
+  readonly streamsPerSecond: number;
   /** Milliseconds between versions of a large configuration; 0: none. */
-  readonly versionsMs: number;
+  readonly versionIntervalMs: number;
 }
 
-const REST: Phase = {
+const IDLE_PHASE: Phase = {
   name: 'rest',
   isBusy: false,
   hasDrifts: false,
-  rate: 0,
-  versionsMs: 0,
+  streamsPerSecond: 0,
+  versionIntervalMs: 0,
 };
 const PHASES: readonly Phase[] = [
-  REST,
-  {...REST, name: 'passes', isBusy: true},
-  {...REST, name: 'drifts', isBusy: true, hasDrifts: true},
-  {...REST, name: 'streams', isBusy: true, hasDrifts: true, rate: RATE},
-  {...REST, name: 'versions', versionsMs: VERSIONS_MS},
+  IDLE_PHASE,
+  {...IDLE_PHASE, name: 'passes', isBusy: true},
+  {...IDLE_PHASE, name: 'drifts', isBusy: true, hasDrifts: true},
+  {
+    ...IDLE_PHASE,
+    name: 'streams',
+    isBusy: true,
+    hasDrifts: true,
+    streamsPerSecond: STREAMS_PER_SECOND,
+  },
+  {...IDLE_PHASE, name: 'versions', versionIntervalMs: VERSION_INTERVAL_MS},
 ];
 
 /** Processor time of a process so far. */
-function spentMs({child}: SiteProcess): number {
+function cpuTimeMs({child}: SiteProcess): number {
   const stat = fs.readFileSync(`/proc/${child.pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   // User and system time: fields 14 and 15, counted from 1.
-  return ((Number(fields[11]) + Number(fields[12])) * 1_000) / TICKS;
+  return ((Number(fields[11]) + Number(fields[12])) * 1_000) / TICKS_PER_SECOND;
 }
 
 function sleep(ms: number): Promise<void> {
@@ -75,7 +81,10 @@
 }
 
 /** By role: milliseconds a process, and the most of one. */
-function byRole(processes: readonly SiteProcess[], spent: readonly number[]) {
+function summarizeByRole(
+  processes: readonly SiteProcess[],
+  spent: readonly number[],
+) {
   const result: Record<string, {mean: number; most: number}> = {};
   for (const role of ['entry', 'sidecar'] as const) {
     const some = spent.filter((_, at) => processes[at]!.role === role);
@@ -88,33 +97,36 @@
   return result;
 }
 
-async function play(site: SiteStandin, phase: Phase): Promise<object> {
+async function runPhase(site: SiteStandin, phase: Phase): Promise<object> {
   const {processes, group} = site;
   group.isBusy = phase.isBusy;
-  const before = processes.map(spentMs);
+  const before = processes.map(cpuTimeMs);
   const mapsBefore = group.mapsTaken;
   const drifts = phase.hasDrifts
-    ? setInterval(() => group.shift(), DRIFT_MS)
+    ? setInterval(() => group.shift(), DRIFT_INTERVAL_MS)
     : undefined;
   const calls: Promise<boolean>[] = [];
   const caller =
-    phase.rate > 0
-      ? setInterval(() => calls.push(site.call(calls.length)), 1e3 / phase.rate)
+    phase.streamsPerSecond > 0
+      ? setInterval(
+          () => calls.push(site.call(calls.length)),
+          1e3 / phase.streamsPerSecond,
+        )
       : undefined;
   const versions =
-    phase.versionsMs > 0
-      ? setInterval(() => site.configure(ROUTES), phase.versionsMs)
+    phase.versionIntervalMs > 0
+      ? setInterval(() => site.configure(ROUTE_COUNT), phase.versionIntervalMs)
       : undefined;
   await sleep(PHASE_MS);
   clearInterval(versions);
   clearInterval(drifts);
   clearInterval(caller);
   const served = (await Promise.all(calls)).filter(isServed => isServed).length;
-  const spent = processes.map((one, at) => spentMs(one) - before[at]!);
+  const spent = processes.map((one, at) => cpuTimeMs(one) - before[at]!);
   return {
     phase: phase.name,
     ms: PHASE_MS,
-    ...byRole(processes, spent),
+    ...summarizeByRole(processes, spent),
     mapsTaken: group.mapsTaken - mapsBefore,
     calls: calls.length,
     served,
@@ -128,7 +140,7 @@
       process.env.PROCESSOR_BUNDLE ?? 'target/ferrycleat.js',
     ),
     shape,
-    entries: ENTRIES,
+    entries: ENTRY_COUNT,
     nodeArgs: (process.env.PROCESSOR_NODE_ARGS ?? '')
       .split(' ')
       .filter(Boolean),
@@ -136,11 +148,14 @@
   });
   await site.open();
   try {
-    await sleep(START_MS);
-    const start = byRole(site.processes, site.processes.map(spentMs));
+    await sleep(START_UP_MS);
+    const start = summarizeByRole(
+      site.processes,
+      site.processes.map(cpuTimeMs),
+    );
     const phases: object[] = [];
     for (const phase of PHASES) {
-      phases.push(await play(site, phase));
+      phases.push(await runPhase(site, phase));
     }
     return {ranks: shape.ranks, start, phases};
   } finally {
@@ -149,8 +164,8 @@
 }
 
 /** Plays the phases one after the other. */
-export const bench: Bench = {
+export const benchmark: Benchmark = {
   name: 'processor',
-  text: 'processor time of a site by role, at rest and at work',
+  description: 'processor time of a site by role, at rest and at work',
   run,
 };
--- a/bench/recovery.ts
+++ b/bench/recovery.ts
@@ -7,12 +7,12 @@
 import * as testHttp from '../features/support/http';
 import * as groupsApp from '../src/groups/app';
 import {RpcClient} from '../src/rpc/client';
-import type {Bench} from './main';
+import type {Benchmark} from './main';
 
-const PROBE_EVERY_MS = 20;
-const BEFORE_MS = 500;
+const PROBE_INTERVAL_MS = 20;
+const WARM_UP_MS = 500;
 const STEADY_MS = 1_500;
-const LONGEST_MS = 20_000;
+const MAX_RECOVERY_MS = 20_000;
 
 interface Probe {
   readonly at: number;
@@ -30,7 +30,7 @@
     this.timer = setInterval(() => {
       const at = Date.now();
       void this.send().then(outcome => this.probes.push({at, outcome}));
-    }, PROBE_EVERY_MS);
+    }, PROBE_INTERVAL_MS);
   }
 
   stop(): void {
@@ -38,19 +38,19 @@
   }
 
   /** Milliseconds from a time until the last request that was not served. */
-  async untilSteady(since: number): Promise<number> {
+  async waitUntilSteady(since: number): Promise<number> {
     for (;;) {
       await pause(100);
       const bad = this.probes.filter(p => p.outcome !== 'served');
       const last = Math.max(since, ...bad.map(probe => probe.at));
       const now = Date.now();
-      if (now - last > STEADY_MS || now - since > LONGEST_MS) {
+      if (now - last > STEADY_MS || now - since > MAX_RECOVERY_MS) {
         return last - since;
       }
     }
   }
 
-  shares(since: number): Record<string, number> {
+  outcomeShares(since: number): Record<string, number> {
     const after = this.probes.filter(probe => probe.at >= since);
     const counts: Record<string, number> = {};
     for (const {outcome} of after) {
@@ -90,7 +90,7 @@
   readonly name: string;
   readonly ranks: number;
   readonly send: (fleet: Fleet) => Promise<string>;
-  readonly act: (fleet: Fleet) => Promise<void>;
+  readonly injectFault: (fleet: Fleet) => Promise<void>;
 }
 
 const CASES: readonly Case[] = [
@@ -101,13 +101,13 @@
       const first = await chat(fleet, 'entry-0');
       return first === 'served' ? first : chat(fleet, 'entry-1');
     },
-    act: fleet => fleet.process('entry-0').kill(),
+    injectFault: fleet => fleet.process('entry-0').kill(),
   },
   {
     name: 'rank sidecar killed, restarted in place',
     ranks: 2,
     send: fleet => chat(fleet, 'entry-1'),
-    act: async fleet => {
+    injectFault: async fleet => {
       await fleet.process('rank-1').kill();
       fleet.process('rank-1').start();
     },
@@ -116,7 +116,7 @@
     name: 'owner killed, restarted in place',
     ranks: 0,
     send: fleet => topUp(fleet, 'entry-1'),
-    act: async fleet => {
+    injectFault: async fleet => {
       await fleet.process('ledger-0').kill();
       fleet.process('ledger-0').start();
     },
@@ -125,7 +125,7 @@
     name: 'owner killed for good',
     ranks: 0,
     send: fleet => topUp(fleet, 'entry-1'),
-    act: async fleet => {
+    injectFault: async fleet => {
       await fleet.process('ledger-0').kill();
     },
   },
@@ -136,14 +136,14 @@
   const prober = new Prober(() => one.send(fleet));
   try {
     prober.start();
-    await pause(BEFORE_MS);
+    await pause(WARM_UP_MS);
     if (storeDown) {
       await fleet.setFaults(fleet.platform, {outage: true});
     }
     const since = Date.now();
-    await one.act(fleet);
-    const recoveredMs = await prober.untilSteady(since);
-    const outcomes = prober.shares(since);
+    await one.injectFault(fleet);
+    const recoveredMs = await prober.waitUntilSteady(since);
+    const outcomes = prober.outcomeShares(since);
     return {case: one.name, storeDown, recoveredMs, outcomes};
   } finally {
     prober.stop();
@@ -152,7 +152,7 @@
 }
 
 /** The pause of a group whose leader dies between arm and commit. */
-async function measureLeader(storeDown: boolean) {
+async function measureLeaderKill(storeDown: boolean) {
   const fleet = await Fleet.start({
     ...{ranks: 3, ledgers: 0, entries: 1, relayRanks: true},
   });
@@ -199,13 +199,13 @@
     for (const one of CASES) {
       rows.push(await measure(one, storeDown));
     }
-    rows.push(await measureLeader(storeDown));
+    rows.push(await measureLeaderKill(storeDown));
   }
   return rows;
 }
 
-export const bench: Bench = {
+export const benchmark: Benchmark = {
   name: 'recovery',
-  text: 'time to full service after a kill',
+  description: 'time to full service after a kill',
   run,
 };
--- a/bench/routing.ts
+++ b/bench/routing.ts
@@ -10,11 +10,11 @@
 import type {Candidate, Policy} from '../src/routing/types';
 import * as fakes from './fake-engines';
 import {SentLog} from '../src/targets/sent-log';
-import type {Bench} from './main';
+import type {Benchmark} from './main';
 import * as stats from './stats';
 
 const ENTRIES = 3;
-const SECONDS = 40;
+const RUN_SECONDS = 40;
 const SLOW_FROM_MS = 10_000;
 const SLOW_FACTOR = 1.4;
 const STALL_FROM_MS = 25_000;
@@ -22,18 +22,18 @@
 const REPORT_LAG_MS = 30;
 const REPORT_PERIOD_MS = 1_000;
 /** Chance that a cache event is lost. */
-const LOST_EVENT = 0.2;
+const EVENT_LOSS_SHARE = 0.2;
 /** Requests a second that twelve targets finish with no prefix cached. */
-const CAPACITY = 340;
+const CAPACITY_PER_SECOND = 340;
 const LOADS = [0.5, 0.8, 0.95];
-const HALL_HOP_MS = 3;
+const CROSS_HALL_ROUND_TRIP_MS = 3;
 
-interface View {
+interface TargetView {
   running: number;
   prefillTokens: number;
   stepMs: number;
   rankMs: number;
-  at: number;
+  reportedAt: number;
   readonly sent: SentLog;
   inFlight: number;
 }
@@ -41,11 +41,11 @@
 /** What one entry believes of the targets. */
 class EntryView {
   readonly prefixes = new PrefixIndex();
-  private readonly views = new Map<string, View>();
+  private readonly views = new Map<string, TargetView>();
 
   constructor(readonly hall: string) {}
 
-  view(id: string): View {
+  view(id: string): TargetView {
     let view = this.views.get(id);
     if (view === undefined) {
       view = {
@@ -53,7 +53,7 @@
         prefillTokens: 0,
         stepMs: 0,
         rankMs: 0,
-        at: 0,
+        reportedAt: 0,
         sent: new SentLog(),
         inFlight: 0,
       };
@@ -62,25 +62,25 @@
     return view;
   }
 
-  report(rank: fakes.FakeRank, made: Report): void {
+  report(rank: fakes.FakeRank, made: LoadReport): void {
     Object.assign(this.view(rank.id), made);
   }
 }
 
 /** A target's load as of a time. */
-type Report = Omit<View, 'sent' | 'inFlight'>;
+type LoadReport = Omit<TargetView, 'sent' | 'inFlight'>;
 
 function snapshot(
   rank: fakes.FakeRank,
   group: fakes.FakeGroup,
   now: number,
-): Report {
+): LoadReport {
   return {
     running: rank.outstanding,
     prefillTokens: rank.prefillTokens,
     stepMs: group.stepMs,
     rankMs: rank.rankMs,
-    at: now,
+    reportedAt: now,
   };
 }
 
@@ -92,7 +92,9 @@
   now: number,
 ): Candidate {
   const view = entry.view(rank.id);
-  const unseen = view.sent.since(view.at - HALL_HOP_MS / 2);
+  const unseen = view.sent.since(
+    view.reportedAt - CROSS_HALL_ROUND_TRIP_MS / 2,
+  );
   return {
     id: rank.id,
     group: group.id,
@@ -106,7 +108,7 @@
       stepMs: view.stepMs,
       rankMs: view.rankMs,
     },
-    loadAgeMs: now - view.at,
+    loadAgeMs: now - view.reportedAt,
     unreported: unseen.requests,
     unreportedTokens: unseen.tokens,
     inFlight: view.inFlight,
@@ -115,33 +117,33 @@
 }
 
 /** Actions due at a virtual time. */
-class Agenda {
-  private readonly due: {at: number; act: () => void}[] = [];
+class EventQueue {
+  private readonly events: {at: number; act: () => void}[] = [];
 
-  add(at: number, act: () => void): void {
+  schedule(at: number, act: () => void): void {
     let low = 0;
-    let high = this.due.length;
+    let high = this.events.length;
     while (low < high) {
       const middle = (low + high) >> 1;
-      if (this.due[middle]!.at <= at) {
+      if (this.events[middle]!.at <= at) {
         low = middle + 1;
       } else {
         high = middle;
       }
     }
-    this.due.splice(low, 0, {at, act});
+    this.events.splice(low, 0, {at, act});
   }
 
   runUntil(now: number): void {
-    while (this.due.length > 0 && this.due[0]!.at <= now) {
-      this.due.shift()!.act();
+    while (this.events.length > 0 && this.events[0]!.at <= now) {
+      this.events.shift()!.act();
     }
   }
 }
 
-function runOne(policy: Policy, load: number, seed: number) {
+function runPolicy(policy: Policy, load: number, seed: number) {
   random.seed(seed);
-  const groups = fakes.makeFleet();
+  const groups = fakes.makeGroups();
   const ranks = groups.flatMap(group =>
     group.ranks.map(rank => ({rank, group})),
   );
@@ -150,8 +152,8 @@
     (_, at) => new EntryView(groups[at]!.ranks[0]!.hall),
   );
   const done: fakes.FakeRequest[] = [];
-  const agenda = new Agenda();
-  const spacingMs = 1_000 / (CAPACITY * load);
+  const agenda = new EventQueue();
+  const spacingMs = 1_000 / (CAPACITY_PER_SECOND * load);
   let sent = 0;
   let nextArrival = 0;
   let hits = 0;
@@ -170,7 +172,7 @@
       {
         account: request.account,
         prefix: request.prefix,
-        promptTokens: request.prefixTokens + request.ownTokens,
+        promptTokens: request.prefixTokens + request.suffixTokens,
         hall: entry.hall,
       },
       ranks.map(({rank, group}) =>
@@ -180,17 +182,19 @@
     const {rank, group} = ranks.find(r => r.rank.id === decision.chosen)!;
     const view = entry.view(rank.id);
     const known = entry.prefixes.cachedTokensAt(request.prefix, rank.id);
-    view.sent.note(now, request.prefixTokens + request.ownTokens - known);
+    view.sent.note(now, request.prefixTokens + request.suffixTokens - known);
     view.inFlight += 1;
     senders.set(request, {entry, id: rank.id});
-    if (random.unit() > LOST_EVENT) {
+    if (random.unit() > EVENT_LOSS_SHARE) {
       entry.prefixes.noteSent(request.prefix, rank.id, request.prefixTokens);
     }
-    const hopMs = rank.hall === entry.hall ? 0 : HALL_HOP_MS / 2;
-    agenda.add(now + hopMs, () => rank.submit(request));
-    agenda.add(now + hopMs, () => {
+    const hopMs = rank.hall === entry.hall ? 0 : CROSS_HALL_ROUND_TRIP_MS / 2;
+    agenda.schedule(now + hopMs, () => rank.submit(request));
+    agenda.schedule(now + hopMs, () => {
       const made = snapshot(rank, group, now + hopMs);
-      agenda.add(now + hopMs + REPORT_LAG_MS, () => entry.report(rank, made));
+      agenda.schedule(now + hopMs + REPORT_LAG_MS, () =>
+        entry.report(rank, made),
+      );
     });
     sent += 1;
   };
@@ -200,10 +204,10 @@
         entry.report(rank, snapshot(rank, group, now)),
       );
     }
-    agenda.add(now + REPORT_PERIOD_MS, () => beat(now + REPORT_PERIOD_MS));
+    agenda.schedule(now + REPORT_PERIOD_MS, () => beat(now + REPORT_PERIOD_MS));
   };
   beat(0);
-  for (let now = 0; now < SECONDS * 1_000;) {
+  for (let now = 0; now < RUN_SECONDS * 1_000;) {
     const group = groups.reduce((a, b) => (a.nextAt <= b.nextAt ? a : b));
     now = group.nextAt;
     while (nextArrival <= now) {
@@ -219,9 +223,9 @@
     group.runStep(now, onEnd);
   }
   const firsts = done.map(request => request.firstTokenAt - request.arrivedAt);
-  hits = done.reduce((sum, r) => sum + r.hitTokens, 0);
+  hits = done.reduce((sum, r) => sum + r.cachedTokens, 0);
   const asked = done.reduce((sum, r) => sum + r.prefixTokens, 0);
-  const skews = groups.flatMap(group => group.skews);
+  const skews = groups.flatMap(group => group.skewsMs);
   const busy = ranks.reduce((sum, {rank}) => sum + rank.busyMs, 0);
   return {
     finished: done.length / sent,
@@ -232,7 +236,7 @@
     skewP50Ms: stats.quantile(skews, 0.5),
     skewP99Ms: stats.quantile(skews, 0.99),
     skewMeanMs: stats.mean(skews),
-    stepMeanMs: stats.mean(groups.flatMap(group => group.steps)),
+    stepMeanMs: stats.mean(groups.flatMap(group => group.stepTimesMs)),
     slowRankShare: (slow.busyMs / busy) * ranks.length,
   };
 }
@@ -250,7 +254,7 @@
     const outcomes = Object.fromEntries(
       Object.entries(makers).map(([name, make]) => [
         name,
-        runOne(make(), load, seed),
+        runPolicy(make(), load, seed),
       ]),
     );
     const {scored, twoChoices, leastOutstanding} = outcomes;
@@ -263,8 +267,8 @@
   });
 }
 
-export const bench: Bench = {
+export const benchmark: Benchmark = {
   name: 'routing',
-  text: 'routing on fakes of the engines',
+  description: 'routing on fakes of the engines',
   run,
 };
--- a/bench/stats.ts
+++ b/bench/stats.ts
@@ -16,7 +16,7 @@
 }
 
 /** Jain's index: 1 where all are equal, 1/n where one has all. */
-export function jain(values: readonly number[]): number {
+export function jainIndex(values: readonly number[]): number {
   const sum = values.reduce((a, b) => a + b, 0);
   const squares = values.reduce((a, b) => a + b * b, 0);
   return squares === 0 ? 1 : (sum * sum) / (values.length * squares);
--- a/src/commands/local-site.ts
+++ b/src/commands/local-site.ts
@@ -49,7 +49,7 @@
     };
     this.entry = new Entry(cfg, this.log);
     const address = await this.entry.open();
-    this.platform.list({
+    this.platform.addInstance({
       id: 'entry-0',
       hall: HALLS[0],
       role: 'entry',
@@ -131,7 +131,7 @@
     );
     this.sidecars.push(sidecar);
     const address = await sidecar.open();
-    this.platform.list({
+    this.platform.addInstance({
       id,
       hall,
       role: 'sidecar',
--- a/src/commands/processes.ts
+++ b/src/commands/processes.ts
@@ -100,7 +100,12 @@
     const cfg = readSettings(command, engineTable);
     const engine = await import('../../standins/engine');
     const {ranks, stepMs, checksFences} = cfg;
-    const options = {...engine.DEFAULT_ENGINE, ranks, stepMs, checksFences};
+    const options = {
+      ...engine.DEFAULT_ENGINE_OPTIONS,
+      ranks,
+      stepMs,
+      checksFences,
+    };
     const standin = new engine.EngineStandin(options);
     await runStandin('standin-engine', {
       open: () => standin.open(cfg.listen),
--- a/standins/engine-group.ts
+++ b/standins/engine-group.ts
@@ -11,16 +11,16 @@
 import {compareFences, NO_FENCE} from '../src/groups/types';
 
 /** Work that a rank does in a step. */
-export interface RankWork {
+export interface StepRunner {
   /** Runs the rank's part of a step; answers its own time in ms. */
   runStep(): number;
 }
 
 interface RankState {
-  readonly work: RankWork;
+  readonly runner: StepRunner;
   version: number | null;
   hold: {step: number; change: MapChange} | null;
-  switchAt: {step: number; version: number} | null;
+  scheduledSwitch: {step: number; version: number} | null;
   staged: Set<number>;
   fence: Fence;
   rankMs: number;
@@ -44,7 +44,7 @@
   readonly checksFences: boolean;
 }
 
-const BLOCKED_POLL_MS = 1;
+const BLOCKED_POLL_INTERVAL_MS = 1;
 
 export class EngineGroup {
   readonly records: StepRecord[] = [];
@@ -61,15 +61,15 @@
 
   constructor(
     readonly options: GroupOptions,
-    works: readonly RankWork[],
+    runners: readonly StepRunner[],
   ) {
     this.lastStepMs = options.stepMs;
-    for (const work of works) {
+    for (const runner of runners) {
       this.states.push({
-        work,
+        runner,
         version: 1,
         hold: null,
-        switchAt: null,
+        scheduledSwitch: null,
         staged: new Set([1]),
         fence: NO_FENCE,
         rankMs: 0,
@@ -102,7 +102,7 @@
       version: state.version,
       staged: [...state.staged],
       hold: state.hold,
-      next: state.switchAt,
+      next: state.scheduledSwitch,
       fence: this.options.checksFences ? state.fence : null,
       stepMs: this.lastStepMs,
       rankMs: state.rankMs,
@@ -145,7 +145,7 @@
     if (state.hold?.change.id !== change.id) {
       return false;
     }
-    state.switchAt = {step: change.step, version: change.map.version};
+    state.scheduledSwitch = {step: change.step, version: change.map.version};
     state.hold = null;
     this.maps.set(change.map.version, change.map);
     return true;
@@ -166,14 +166,14 @@
     for (const state of this.states) {
       state.version = null;
       state.hold = null;
-      state.switchAt = null;
+      state.scheduledSwitch = null;
       state.staged = new Set();
       state.fence = NO_FENCE;
     }
   }
 
   /** Gives a rank its map before the first step of a generation. */
-  form(rank: number, generation: number, version: number): boolean {
+  setInitialMap(rank: number, generation: number, version: number): boolean {
     const state = this.states[rank]!;
     if (generation !== this.generation || state.version !== null) {
       return generation === this.generation && state.version === version;
@@ -191,7 +191,7 @@
     );
     if (isBlocked) {
       this.blockedSince ??= Date.now();
-      this.timer = setTimeout(() => this.tick(), BLOCKED_POLL_MS);
+      this.timer = setTimeout(() => this.tick(), BLOCKED_POLL_INTERVAL_MS);
       return;
     }
     if (this.blockedSince !== undefined) {
@@ -205,11 +205,14 @@
 
   private runStep(): void {
     for (const state of this.states) {
-      if (state.switchAt !== null && this.step >= state.switchAt.step) {
-        state.version = state.switchAt.version;
-        state.switchAt = null;
+      if (
+        state.scheduledSwitch !== null &&
+        this.step >= state.scheduledSwitch.step
+      ) {
+        state.version = state.scheduledSwitch.version;
+        state.scheduledSwitch = null;
       }
-      state.rankMs = state.work.runStep();
+      state.rankMs = state.runner.runStep();
     }
     this.recordStep();
     this.lastStepMs = Math.max(...this.states.map(state => state.rankMs));
--- a/standins/engine.ts
+++ b/standins/engine.ts
@@ -14,20 +14,25 @@
 import * as faults from './faults';
 
 const MAX_BODY_BYTES = 8 * 1024 * 1024;
-const DEFAULT_TOKENS = 16;
-const MAX_TOKENS = 4_096;
+const DEFAULT_OUTPUT_TOKENS = 16;
+const MAX_OUTPUT_TOKENS = 4_096;
 const PREFILL_TOKENS_PER_STEP = 2_048;
 const CHARACTERS_PER_TOKEN = 4;
-const KEPT_STREAM_MS = 60_000;
-const MS_PER_STREAM = 0.05;
+const STREAM_RETENTION_MS = 60_000;
+const STEP_MS_PER_STREAM = 0.05;
 
 const chatSchema = v.object({
   model: v.string(),
   messages: v.array(v.object({role: v.string(), content: v.unknown()})),
   stream: v.optional(v.boolean(), false),
   max_tokens: v.optional(
-    v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(MAX_TOKENS)),
-    DEFAULT_TOKENS,
+    v.pipe(
+      v.number(),
+      v.integer(),
+      v.minValue(1),
+      v.maxValue(MAX_OUTPUT_TOKENS),
+    ),
+    DEFAULT_OUTPUT_TOKENS,
   ),
 });
 
@@ -42,8 +47,8 @@
   readonly name: string;
   readonly model: string;
   readonly prompt: string;
-  readonly total: number;
-  prefillLeft: number;
+  readonly maxTokens: number;
+  prefillTokensLeft: number;
   readonly events: string[];
   listener: (() => void) | undefined;
   isCancelled: boolean;
@@ -51,7 +56,7 @@
 }
 
 /** One rank's streams and HTTP face. */
-class Rank implements group.RankWork {
+class Rank implements group.StepRunner {
   readonly faults: faults.EngineFaults = {
     cutAfter: null,
     doubled: false,
@@ -61,7 +66,7 @@
     foreign: false,
     retryAfter: null,
   };
-  readonly turnedAway = new faults.TurnedAway();
+  readonly rejections = new faults.RejectionLog();
   readonly streams = new Map<string, Stream>();
   readonly counts: number[][];
   cancelled = 0;
@@ -81,35 +86,35 @@
   }
 
   get prefillTokens(): number {
-    return this.running.reduce((sum, s) => sum + s.prefillLeft, 0);
+    return this.running.reduce((sum, s) => sum + s.prefillTokensLeft, 0);
   }
 
   runStep(): number {
     let prefillBudget = PREFILL_TOKENS_PER_STEP;
     const running = this.running;
     for (const stream of running) {
-      if (stream.prefillLeft > 0) {
-        const read = Math.min(prefillBudget, stream.prefillLeft);
-        stream.prefillLeft -= read;
+      if (stream.prefillTokensLeft > 0) {
+        const read = Math.min(prefillBudget, stream.prefillTokensLeft);
+        stream.prefillTokensLeft -= read;
         prefillBudget -= read;
       } else {
         this.emitToken(stream);
       }
     }
-    this.forgetOld();
+    this.removeExpiredStreams();
     return (
-      (this.stepMs + running.length * MS_PER_STREAM) * this.faults.slowness
+      (this.stepMs + running.length * STEP_MS_PER_STREAM) * this.faults.slowness
     );
   }
 
-  open(name: string, chat: v.InferOutput<typeof chatSchema>): Stream {
+  openStream(name: string, chat: v.InferOutput<typeof chatSchema>): Stream {
     const prompt = JSON.stringify(chat.messages);
     const stream: Stream = {
       name,
       model: chat.model,
       prompt,
-      total: chat.max_tokens,
-      prefillLeft: Math.ceil(prompt.length / CHARACTERS_PER_TOKEN),
+      maxTokens: chat.max_tokens,
+      prefillTokensLeft: Math.ceil(prompt.length / CHARACTERS_PER_TOKEN),
       events: [],
       listener: undefined,
       isCancelled: false,
@@ -119,7 +124,7 @@
     return stream;
   }
 
-  cancel(name: string): boolean {
+  cancelStream(name: string): boolean {
     const stream = this.streams.get(name);
     if (stream === undefined || stream.endedAt !== undefined) {
       return false;
@@ -133,20 +138,20 @@
 
   private emitToken(stream: Stream): void {
     const at = stream.events.length;
-    stream.events.push(eventData(stream, tokenOf(stream, at)));
+    stream.events.push(eventData(stream, tokenAt(stream, at)));
     for (const [layer, counts] of this.counts.entries()) {
       const expert = (at * 7 + layer * 3) % counts.length;
       counts[expert] = counts[expert]! + 1;
     }
-    if (stream.events.length >= stream.total) {
+    if (stream.events.length >= stream.maxTokens) {
       stream.events.push('[DONE]');
       stream.endedAt = Date.now();
     }
     stream.listener?.();
   }
 
-  private forgetOld(): void {
-    const before = Date.now() - KEPT_STREAM_MS;
+  private removeExpiredStreams(): void {
+    const before = Date.now() - STREAM_RETENTION_MS;
     for (const [name, stream] of this.streams) {
       if (stream.endedAt !== undefined && stream.endedAt < before) {
         this.streams.delete(name);
@@ -156,7 +161,7 @@
 }
 
 /** The token at a place: it depends on the prompt, so that mix-ups show. */
-function tokenOf(stream: Stream, at: number): string {
+function tokenAt(stream: Stream, at: number): string {
   const digest = createHash('sha256').update(stream.prompt).digest('hex');
   return `${digest.slice(0, 6)}-${at + 1} `;
 }
@@ -187,7 +192,7 @@
   readonly maxRunning: number;
 }
 
-export const DEFAULT_ENGINE: EngineOptions = {
+export const DEFAULT_ENGINE_OPTIONS: EngineOptions = {
   ranks: 4,
   stepMs: 5,
   layers: 2,
@@ -202,7 +207,9 @@
   private readonly ranks: Rank[] = [];
   private readonly listeners: httpServer.Listener[] = [];
 
-  constructor(private readonly options: EngineOptions = DEFAULT_ENGINE) {
+  constructor(
+    private readonly options: EngineOptions = DEFAULT_ENGINE_OPTIONS,
+  ) {
     for (let rank = 0; rank < options.ranks; rank += 1) {
       const {stepMs, layers, experts} = options;
       this.ranks.push(new Rank(stepMs, layers, experts));
@@ -218,7 +225,7 @@
       this.listeners.push(
         await httpServer.listen(
           own,
-          (req, res) => this.answer(rank, state, req, res),
+          (req, res) => this.handleRequest(rank, state, req, res),
           () => undefined,
         ),
       );
@@ -232,7 +239,7 @@
     await Promise.all(this.listeners.map(listener => listener.close()));
   }
 
-  private async answer(
+  private async handleRequest(
     rank: number,
     state: Rank,
     req: http.IncomingMessage,
@@ -244,13 +251,13 @@
       await this.startChat(state, req, res);
     } else if (path.startsWith('/v1/streams/')) {
       const name = path.slice('/v1/streams/'.length);
-      this.answerStream(state, req, res, name, url.searchParams);
+      this.handleStream(state, req, res, name, url.searchParams);
     } else if (path === '/v1/rank') {
       body.sendJson(res, 200, this.describe(rank, state));
     } else if (path.startsWith('/v1/map/')) {
-      await this.answerOrder(rank, path.slice('/v1/map/'.length), req, res);
+      await this.handleOrder(rank, path.slice('/v1/map/'.length), req, res);
     } else if (path.startsWith('/standin/')) {
-      await this.answerControl(state, path, req, res);
+      await this.handleControl(state, path, req, res);
     } else {
       req.resume();
       body.sendJson(res, 404, {});
@@ -274,7 +281,7 @@
   ): Promise<void> {
     const {retryAfter} = state.faults;
     if (retryAfter !== null) {
-      state.turnedAway.answer(req, res, retryAfter);
+      state.rejections.reject(req, res, retryAfter);
       return;
     }
     const read = await body.readJson(req, MAX_BODY_BYTES);
@@ -288,19 +295,19 @@
       body.sendJson(res, 503, {error: {message: 'engine is full'}});
       return;
     }
-    const stream = state.open(name, chat.output);
+    const stream = state.openStream(name, chat.output);
     if (state.faults.lateMs > 0) {
       await new Promise(wake => setTimeout(wake, state.faults.lateMs));
     }
     if (chat.output.stream) {
       this.sendEvents(state, stream, res, 0);
     } else {
-      res.once('close', () => state.cancel(name));
-      this.sendWhole(state, stream, res);
+      res.once('close', () => state.cancelStream(name));
+      this.sendCompletion(state, stream, res);
     }
   }
 
-  private answerStream(
+  private handleStream(
     state: Rank,
     req: http.IncomingMessage,
     res: http.ServerResponse,
@@ -308,7 +315,7 @@
     query: URLSearchParams,
   ): void {
     if (req.method === 'DELETE') {
-      body.sendJson(res, 200, {cancelled: state.cancel(name)});
+      body.sendJson(res, 200, {cancelled: state.cancelStream(name)});
       return;
     }
     const stream = state.streams.get(name);
@@ -319,7 +326,7 @@
     this.sendEvents(state, stream, res, Number(query.get('after') ?? 0));
   }
 
-  private sendWhole(
+  private sendCompletion(
     state: Rank,
     stream: Stream,
     res: http.ServerResponse,
@@ -330,7 +337,7 @@
       }
       const tokens = stream.events
         .slice(0, -1)
-        .map((_, at) => tokenOf(stream, at));
+        .map((_, at) => tokenAt(stream, at));
       body.sendJson(
         res,
         200,
@@ -346,7 +353,7 @@
             },
           ],
         },
-        {'ferrycleat-stream': this.nameOf(state, stream)},
+        {'ferrycleat-stream': this.streamNameFor(state, stream)},
       );
     };
     stream.listener = check;
@@ -359,7 +366,7 @@
     res: http.ServerResponse,
     after: number,
   ): void {
-    const name = this.nameOf(state, stream);
+    const name = this.streamNameFor(state, stream);
     res.writeHead(200, {
       'content-type': 'text/event-stream',
       'ferrycleat-stream': name,
@@ -367,7 +374,7 @@
     res.flushHeaders();
     let sent = after;
     const send = () => {
-      const held = this.heldBack(state, stream);
+      const held = this.heldBackCount(state, stream);
       while (sent < stream.events.length - held && !res.destroyed) {
         sent += this.sendNext(state, stream, res, name, sent);
         const cutAfter = state.faults.cutAfter;
@@ -386,7 +393,7 @@
   }
 
   /** One event stays back while pairs are to change places. */
-  private heldBack(state: Rank, stream: Stream): number {
+  private heldBackCount(state: Rank, stream: Stream): number {
     return state.faults.reordered && stream.endedAt === undefined ? 1 : 0;
   }
 
@@ -408,11 +415,11 @@
     return 1;
   }
 
-  private nameOf(state: Rank, stream: Stream): string {
+  private streamNameFor(state: Rank, stream: Stream): string {
     return state.faults.foreign ? 'another-request' : stream.name;
   }
 
-  private async answerOrder(
+  private async handleOrder(
     rank: number,
     order: string,
     req: http.IncomingMessage,
@@ -424,7 +431,11 @@
       const form = v.safeParse(formSchema, value);
       const done =
         form.success &&
-        this.group.form(rank, form.output.generation, form.output.version);
+        this.group.setInitialMap(
+          rank,
+          form.output.generation,
+          form.output.version,
+        );
       body.sendJson(res, done ? 200 : 409, {done});
       return;
     }
@@ -462,7 +473,7 @@
     }
   }
 
-  private async answerControl(
+  private async handleControl(
     state: Rank,
     path: string,
     req: http.IncomingMessage,
@@ -476,7 +487,7 @@
       return;
     }
     if (path === '/standin/turned-away') {
-      state.turnedAway.tell(res);
+      state.rejections.sendArrivals(res);
       return;
     }
     if (path === '/standin/restart') {
--- a/standins/faults.ts
+++ b/standins/faults.ts
@@ -60,12 +60,12 @@
 export type ServiceFaults = Required<v.InferOutput<typeof serviceFaultsSchema>>;
 
 /** Requests that a stand-in has turned away, asking for rest. */
-export class TurnedAway {
+export class RejectionLog {
   /** When they came, in Unix milliseconds. */
   private readonly arrivals: number[] = [];
 
   /** Turns a request away. */
-  answer(
+  reject(
     req: http.IncomingMessage,
     res: http.ServerResponse,
     retryAfter: string,
@@ -77,7 +77,7 @@
   }
 
   /** Tells when they came. */
-  tell(res: http.ServerResponse): void {
+  sendArrivals(res: http.ServerResponse): void {
     body.sendJson(res, 200, {arrivals: this.arrivals});
   }
 }
--- a/standins/platform.ts
+++ b/standins/platform.ts
@@ -15,7 +15,7 @@
 
 interface ListedInstance {
   readonly instance: Instance;
-  readonly at: number;
+  readonly listedAt: number;
 }
 
 /** Counts of calls, for the store's budget. */
@@ -47,7 +47,7 @@
   async open(address: string): Promise<string> {
     this.listener = await httpServer.listen(
       address,
-      (req, res) => this.answer(req, res),
+      (req, res) => this.handleRequest(req, res),
       () => undefined,
     );
     return this.listener.address;
@@ -59,17 +59,17 @@
   }
 
   /** Sets an instance on the list. */
-  list(instance: Instance): void {
-    this.listed.push({instance, at: Date.now()});
+  addInstance(instance: Instance): void {
+    this.listed.push({instance, listedAt: Date.now()});
   }
 
-  private async answer(
+  private async handleRequest(
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://standin');
     if (url.pathname.startsWith('/standin/')) {
-      await this.answerControl(req, res, url.pathname);
+      await this.handleControl(req, res, url.pathname);
       return;
     }
     if (this.faults.outage) {
@@ -84,10 +84,10 @@
     );
     if (url.pathname === '/v1/instances') {
       this.counts.reads += 1;
-      body.sendJson(res, 200, {instances: this.laggingList()});
+      body.sendJson(res, 200, {instances: this.laggedInstances()});
     } else if (url.pathname === '/v1/watch') {
       this.counts.watches += 1;
-      await this.answerWatch(res, url.searchParams);
+      await this.handleWatch(res, url.searchParams);
     } else if (url.pathname === '/v1/objects') {
       this.counts.reads += 1;
       const prefix = url.searchParams.get('prefix') ?? '';
@@ -98,13 +98,13 @@
       body.sendJson(res, found ? 200 : 404, found ?? {});
     } else if (req.method === 'PUT') {
       this.counts.writes += 1;
-      await this.answerPut(req, res, key);
+      await this.handlePut(req, res, key);
     } else {
       body.sendJson(res, 405, {});
     }
   }
 
-  private async answerPut(
+  private async handlePut(
     req: http.IncomingMessage,
     res: http.ServerResponse,
     key: string,
@@ -142,7 +142,7 @@
     }
   }
 
-  private async answerWatch(
+  private async handleWatch(
     res: http.ServerResponse,
     query: URLSearchParams,
   ): Promise<void> {
@@ -209,18 +209,18 @@
     );
   }
 
-  private laggingList(): Instance[] {
+  private laggedInstances(): Instance[] {
     const before = Date.now() - this.faults.listLagMs;
     const byId = new Map<string, Instance>();
-    for (const {instance, at} of this.listed) {
-      if (at <= before) {
+    for (const {instance, listedAt} of this.listed) {
+      if (listedAt <= before) {
         byId.set(instance.id, instance);
       }
     }
     return [...byId.values()];
   }
 
-  private async answerControl(
+  private async handleControl(
     req: http.IncomingMessage,
     res: http.ServerResponse,
     path: string,
@@ -235,7 +235,7 @@
     if (path === '/standin/instances') {
       const parsed = v.safeParse(instanceSchema, value);
       if (parsed.success) {
-        this.list(parsed.output);
+        this.addInstance(parsed.output);
       }
       body.sendJson(res, parsed.success ? 200 : 400, {});
       return;
--- a/standins/service.ts
+++ b/standins/service.ts
@@ -26,7 +26,7 @@
     failing: false,
     retryAfter: null,
   };
-  private readonly turnedAway = new faults.TurnedAway();
+  private readonly rejections = new faults.RejectionLog();
   private listener: httpServer.Listener | undefined;
 
   constructor(private readonly runs: RunCounts = new Map()) {}
@@ -34,7 +34,7 @@
   async open(address: string): Promise<string> {
     this.listener = await httpServer.listen(
       address,
-      (req, res) => this.answer(req, res),
+      (req, res) => this.handleRequest(req, res),
       () => undefined,
     );
     return this.listener.address;
@@ -44,7 +44,7 @@
     await this.listener?.close();
   }
 
-  private async answer(
+  private async handleRequest(
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
@@ -55,9 +55,9 @@
     if (url.pathname === '/standin/faults') {
       await this.setFaults(req, res);
     } else if (url.pathname === '/standin/turned-away') {
-      this.turnedAway.tell(res);
+      this.rejections.sendArrivals(res);
     } else if (this.faults.retryAfter !== null) {
-      this.turnedAway.answer(req, res, this.faults.retryAfter);
+      this.rejections.reject(req, res, this.faults.retryAfter);
     } else if (url.pathname === '/runs') {
       body.sendJson(res, 200, Object.fromEntries(this.runs), request);
     } else if (this.faults.failing) {
