--- a/standins/engine-group.ts
+++ b/standins/engine-group.ts
@@ -1,6 +1,6 @@
 /**
- * The steps of a stand-in group: all ranks advance in lock-step, and each
- * step's map is recorded, so that a mixed step shows.
+ * Step loop of a stand-in engine group: all ranks advance in lock-step. Counts
+ * the steps in which ranks run different map versions.
  */
 import type {
   EngineRank,
@@ -10,9 +10,8 @@
 } from '../src/groups/types';
 import {compareFences, NO_FENCE} from '../src/groups/types';
 
-/** Work that a rank does in a step. */
 export interface StepRunner {
-  /** Runs the rank's part of a step; answers its own time in ms. */
+  /** Runs one rank's part of a step; returns its duration in milliseconds. */
   runStep(): number;
 }
 
@@ -26,20 +25,19 @@
   rankMs: number;
 }
 
-/** A change of map as the group ran it. */
+/** A step in which a rank's map version changed, with all ranks' versions. */
 export interface StepRecord {
   readonly step: number;
   readonly versions: readonly (number | null)[];
 }
 
-/** How the group is set up. */
 export interface GroupOptions {
   readonly ranks: number;
-  /** Shortest time of a step. */
+  /** Minimum duration of a step. */
   readonly stepMs: number;
   readonly layers: number;
   readonly experts: number;
-  /** Milliseconds to stage a map. */
+  /** Time to stage a map. */
   readonly stageMs: number;
   readonly checksFences: boolean;
 }
@@ -50,7 +48,7 @@
   readonly records: StepRecord[] = [];
   mixedSteps = 0;
   blockedMs = 0;
-  /** Maps by version, as the ranks were given them. */
+  /** Maps by version, recorded when a rank accepts a switch. */
   readonly maps = new Map<number, ExpertMap>();
   private readonly states: RankState[] = [];
   private step = 1;
@@ -85,7 +83,7 @@
     clearTimeout(this.timer);
   }
 
-  /** Steps that the group has finished. */
+  /** Number of completed steps. */
   get steps(): number {
     return this.step - 1;
   }
@@ -109,7 +107,7 @@
     };
   }
 
-  /** False: the order's fence is lower than one seen before. */
+  /** Returns false if the fence is lower than one that the rank has seen. */
   checkFence(rank: number, fence: Fence): boolean {
     const state = this.states[rank]!;
     if (!this.options.checksFences) {
@@ -122,14 +120,17 @@
     return true;
   }
 
-  /** Loads a map's moved experts in the background. */
+  /** Simulates loading a map; takes `stageMs`. */
   async stage(rank: number, version: number): Promise<void> {
     const state = this.states[rank]!;
     await new Promise(done => setTimeout(done, this.options.stageMs));
     state.staged.add(version);
   }
 
-  /** Promises not to run a step until told; false where it is too late. */
+  /**
+   * Blocks the group from the change's step on, until a switch or a release.
+   * Returns false if that step is reached or the generation differs.
+   */
   hold(rank: number, change: MapChange): boolean {
     const state = this.states[rank]!;
     if (this.step >= change.step || change.generation !== this.generation) {
@@ -139,7 +140,10 @@
     return true;
   }
 
-  /** Runs the new map from the change's step on. */
+  /**
+   * Ends a hold: the rank runs the new map from the change's step on. Returns
+   * false if the rank holds no step for this change.
+   */
   switchAt(rank: number, change: MapChange): boolean {
     const state = this.states[rank]!;
     if (state.hold?.change.id !== change.id) {
@@ -151,7 +155,7 @@
     return true;
   }
 
-  /** Goes on with the old map. */
+  /** Ends a hold: the rank keeps its map. */
   release(rank: number, changeId: string): boolean {
     const state = this.states[rank]!;
     if (state.hold?.change.id === changeId) {
@@ -160,7 +164,10 @@
     return true;
   }
 
-  /** A rank has died and come back: the group waits for one map for all. */
+  /**
+   * Simulates a restart: begins a generation in which no step runs until every
+   * rank has an initial map.
+   */
   restart(): void {
     this.generation += 1;
     for (const state of this.states) {
@@ -172,7 +179,10 @@
     }
   }
 
-  /** Gives a rank its map before the first step of a generation. */
+  /**
+   * Sets a rank's map before the first step of a generation. Returns false if
+   * the generation is not the current one or the rank has another map.
+   */
   setInitialMap(rank: number, generation: number, version: number): boolean {
     const state = this.states[rank]!;
     if (generation !== this.generation || state.version !== null) {
--- a/standins/engine.ts
+++ b/standins/engine.ts
@@ -1,7 +1,8 @@
 /**
- * Stand-in of a model engine: one process that hosts the ranks of a group,
- * each with its own HTTP face. Streams can be resumed and cancelled; maps
- * are changed by orders.
+ * Stand-in for a model engine: one process that hosts the ranks of a group,
+ * each with its own HTTP server. Streams can be resumed and cancelled, and
+ * orders change the expert map. Tokens are derived from the prompt; there is no
+ * model.
  */
 import {createHash} from 'node:crypto';
 import type * as http from 'node:http';
@@ -55,7 +56,7 @@
   endedAt: number | undefined;
 }
 
-/** One rank's streams and HTTP face. */
+/** One rank's streams, injected faults and expert counts. */
 class Rank implements group.StepRunner {
   readonly faults: faults.EngineFaults = {
     cutAfter: null,
@@ -137,10 +138,10 @@
   }
 
   private emitToken(stream: Stream): void {
-    const at = stream.events.length;
-    stream.events.push(eventData(stream, tokenAt(stream, at)));
+    const index = stream.events.length;
+    stream.events.push(eventData(stream, tokenAt(stream, index)));
     for (const [layer, counts] of this.counts.entries()) {
-      const expert = (at * 7 + layer * 3) % counts.length;
+      const expert = (index * 7 + layer * 3) % counts.length;
       counts[expert] = counts[expert]! + 1;
     }
     if (stream.events.length >= stream.maxTokens) {
@@ -160,10 +161,10 @@
   }
 }
 
-/** The token at a place: it depends on the prompt, so that mix-ups show. */
-function tokenAt(stream: Stream, at: number): string {
+/** Derives the token from the prompt, so that mixed-up streams differ. */
+function tokenAt(stream: Stream, index: number): string {
   const digest = createHash('sha256').update(stream.prompt).digest('hex');
-  return `${digest.slice(0, 6)}-${at + 1} `;
+  return `${digest.slice(0, 6)}-${index + 1} `;
 }
 
 function eventData(stream: Stream, content: string): string {
@@ -175,19 +176,18 @@
   });
 }
 
-/** The text that a prompt gets, for tests. */
+/** Text that a stand-in engine generates for the messages. */
 export function expectedText(messages: unknown, tokens: number): string {
   const digest = createHash('sha256')
     .update(JSON.stringify(messages))
     .digest('hex');
   let text = '';
-  for (let at = 0; at < tokens; at += 1) {
-    text += `${digest.slice(0, 6)}-${at + 1} `;
+  for (let index = 0; index < tokens; index += 1) {
+    text += `${digest.slice(0, 6)}-${index + 1} `;
   }
   return text;
 }
 
-/** How a stand-in engine is set up. */
 export interface EngineOptions extends group.GroupOptions {
   readonly maxRunning: number;
 }
@@ -217,14 +217,17 @@
     this.group = new group.EngineGroup(options, this.ranks);
   }
 
-  /** Rank k listens k ports above the address, or on free ports for 0. */
+  /**
+   * Starts a server per rank and returns their addresses. Rank k listens on the
+   * address's port plus k; all use free ports where the port is 0.
+   */
   async open(address: string): Promise<string[]> {
     const {host, port} = splitAddress(address);
     for (const [rank, state] of this.ranks.entries()) {
-      const own = joinAddress(host, port === 0 ? 0 : port + rank);
+      const rankAddress = joinAddress(host, port === 0 ? 0 : port + rank);
       this.listeners.push(
         await httpServer.listen(
-          own,
+          rankAddress,
           (req, res) => this.handleRequest(rank, state, req, res),
           () => undefined,
         ),
@@ -288,7 +291,9 @@
     const chat = v.safeParse(chatSchema, read.ok ? read.value : undefined);
     const name = body.headerOf(req, 'ferrycleat-stream') ?? '';
     if (!chat.success || name === '') {
-      body.sendJson(res, 400, {error: {message: 'malformed chat'}});
+      body.sendJson(res, 400, {
+        error: {message: 'malformed chat completion request'},
+      });
       return;
     }
     if (state.running.length >= this.options.maxRunning) {
@@ -331,13 +336,13 @@
     stream: Stream,
     res: http.ServerResponse,
   ): void {
-    const check = () => {
+    const sendIfEnded = () => {
       if (stream.endedAt === undefined || stream.isCancelled) {
         return;
       }
       const tokens = stream.events
         .slice(0, -1)
-        .map((_, at) => tokenAt(stream, at));
+        .map((_, index) => tokenAt(stream, index));
       body.sendJson(
         res,
         200,
@@ -356,8 +361,8 @@
         {'ferrycleat-stream': this.streamNameFor(state, stream)},
       );
     };
-    stream.listener = check;
-    check();
+    stream.listener = sendIfEnded;
+    sendIfEnded();
   }
 
   private sendEvents(
@@ -374,8 +379,8 @@
     res.flushHeaders();
     let sent = after;
     const send = () => {
-      const held = this.heldBackCount(state, stream);
-      while (sent < stream.events.length - held && !res.destroyed) {
+      const heldBack = this.heldBackCount(state, stream);
+      while (sent < stream.events.length - heldBack && !res.destroyed) {
         sent += this.sendNext(state, stream, res, name, sent);
         const cutAfter = state.faults.cutAfter;
         if (cutAfter !== null && sent >= cutAfter) {
@@ -392,12 +397,12 @@
     send();
   }
 
-  /** One event stays back while pairs are to change places. */
+  /** Holds the last event back, so that it can be swapped with the next one. */
   private heldBackCount(state: Rank, stream: Stream): number {
     return state.faults.reordered && stream.endedAt === undefined ? 1 : 0;
   }
 
-  /** Sends what comes next, and answers how many events that was. */
+  /** Sends the next event or swapped pair; returns how many it has sent. */
   private sendNext(
     state: Rank,
     stream: Stream,
@@ -405,13 +410,15 @@
     name: string,
     sent: number,
   ): number {
-    const print = (at: number) =>
-      `id: ${name}.${at + 1}\ndata: ${stream.events[at]}\n\n`;
+    const format = (index: number) =>
+      `id: ${name}.${index + 1}\ndata: ${stream.events[index]}\n\n`;
     if (state.faults.reordered && sent + 1 < stream.events.length) {
-      res.write(print(sent + 1) + print(sent));
+      res.write(format(sent + 1) + format(sent));
       return 2;
     }
-    res.write(state.faults.doubled ? print(sent) + print(sent) : print(sent));
+    res.write(
+      state.faults.doubled ? format(sent) + format(sent) : format(sent),
+    );
     return 1;
   }
 
--- a/standins/faults.ts
+++ b/standins/faults.ts
@@ -1,23 +1,23 @@
-/** Faults that tests and trials set on a stand-in over `/standin/faults`. */
+/** Faults that tests inject into the stand-ins through `/standin/faults`. */
 import type * as http from 'node:http';
 import * as v from 'valibot';
 import * as body from '../src/http/body';
 
 export const platformFaultsSchema = v.partial(
   v.strictObject({
-    /** No call is answered; connections are cut. */
+    /** Connections are closed without a response. */
     outage: v.boolean(),
-    /** An outage begins after this many more writes. */
+    /** An outage begins after this many further writes; null: none. */
     outageAfterWrites: v.nullable(v.number()),
-    /** Watches are not woken by changes. */
+    /** Changes do not wake pending watches. */
     hideWatches: v.boolean(),
-    /** Writes that take effect but whose answer is cut. */
+    /** Number of writes to come that take effect but get no response. */
     loseAnswers: v.number(),
-    /** Milliseconds before each answer. */
+    /** Delay of each response. */
     delayMs: v.number(),
-    /** Milliseconds by which the list of instances lags. */
+    /** Delay until a change of the list of instances is visible. */
     listLagMs: v.number(),
-    /** Lists and reads are answered as of this revision. */
+    /** Reads and lists return the objects as of this revision; null: current. */
     staleRevision: v.nullable(v.number()),
   }),
 );
@@ -27,19 +27,19 @@
 
 export const engineFaultsSchema = v.partial(
   v.strictObject({
-    /** The next streams are cut after this many events. */
+    /** The next stream that reaches this many events is cut; null: none. */
     cutAfter: v.nullable(v.number()),
-    /** Events are sent twice. */
+    /** Each event is sent twice. */
     doubled: v.boolean(),
-    /** Pairs of events change places. */
+    /** Each pair of events is sent in reverse order. */
     reordered: v.boolean(),
-    /** Milliseconds before each answer's head. */
+    /** Delay of the response to a new chat. */
     lateMs: v.number(),
-    /** Factor on this rank's share of a step. */
+    /** Factor on this rank's step time. */
     slowness: v.number(),
-    /** Answers name another request. */
+    /** Responses carry another request's name. */
     foreign: v.boolean(),
-    /** New chats are turned away with 503 and this Retry-After. */
+    /** New chats are rejected with 503 and this Retry-After; null: none. */
     retryAfter: v.nullable(v.string()),
   }),
 );
@@ -47,24 +47,23 @@
 
 export const serviceFaultsSchema = v.partial(
   v.strictObject({
-    /** Milliseconds that a run takes. */
+    /** Duration of a run. */
     runMs: v.number(),
-    /** The next runs take effect, but their connection is cut. */
+    /** Number of runs to come that take effect but get no response. */
     loseAnswers: v.number(),
-    /** Calls answered with 500 without running. */
+    /** Calls get 500 and do not run. */
     failing: v.boolean(),
-    /** Calls are turned away with 503 and this Retry-After. */
+    /** Calls are rejected with 503 and this Retry-After; null: none. */
     retryAfter: v.nullable(v.string()),
   }),
 );
 export type ServiceFaults = Required<v.InferOutput<typeof serviceFaultsSchema>>;
 
-/** Requests that a stand-in has turned away, asking for rest. */
+/** Rejects requests with Retry-After and records when they arrived. */
 export class RejectionLog {
-  /** When they came, in Unix milliseconds. */
+  /** Unix milliseconds. */
   private readonly arrivals: number[] = [];
 
-  /** Turns a request away. */
   reject(
     req: http.IncomingMessage,
     res: http.ServerResponse,
@@ -73,10 +72,14 @@
     this.arrivals.push(Date.now());
     req.resume();
     const headers = {'retry-after': retryAfter};
-    body.sendJson(res, 503, {error: {message: 'rest is asked for'}}, headers);
+    body.sendJson(
+      res,
+      503,
+      {error: {message: 'stand-in set to reject requests'}},
+      headers,
+    );
   }
 
-  /** Tells when they came. */
   sendArrivals(res: http.ServerResponse): void {
     body.sendJson(res, 200, {arrivals: this.arrivals});
   }
--- a/standins/platform.ts
+++ b/standins/platform.ts
@@ -1,7 +1,6 @@
 /**
- * Stand-in of the platform: versioned objects with conditional updates and
- * watches, and the lagging list of instances. In memory, for trials and
- * tests.
+ * Stand-in for the platform: versioned objects with conditional updates and
+ * watches, and a list of instances that can lag. Keeps all data in memory.
  */
 import type * as http from 'node:http';
 import * as v from 'valibot';
@@ -18,7 +17,7 @@
   readonly listedAt: number;
 }
 
-/** Counts of calls, for the store's budget. */
+/** Number of calls since the start, by kind. */
 export interface CallCounts {
   reads: number;
   writes: number;
@@ -43,7 +42,7 @@
   private readonly counts: CallCounts = {reads: 0, writes: 0, watches: 0};
   private listener: httpServer.Listener | undefined;
 
-  /** Starts to answer; gives the address. */
+  /** Starts the server and returns its address. */
   async open(address: string): Promise<string> {
     this.listener = await httpServer.listen(
       address,
@@ -58,7 +57,7 @@
     await this.listener?.close();
   }
 
-  /** Sets an instance on the list. */
+  /** Adds an instance to the list, or replaces the one with its id. */
   addInstance(instance: Instance): void {
     this.listed.push({instance, listedAt: Date.now()});
   }
@@ -112,12 +111,14 @@
     const read = await body.readJson(req, MAX_VALUE_BYTES);
     const match = /^"(\d+)"$/.exec(body.headerOf(req, 'if-match') ?? '');
     if (!read.ok || match === null) {
-      body.sendJson(res, 400, {error: 'a JSON value and if-match'});
+      body.sendJson(res, 400, {
+        error: 'expected a JSON body and an If-Match version',
+      });
       return;
     }
-    const held = this.current.get(key);
-    if ((held?.version ?? 0) !== Number(match[1])) {
-      body.sendJson(res, 412, {current: held ?? null});
+    const stored = this.current.get(key);
+    if ((stored?.version ?? 0) !== Number(match[1])) {
+      body.sendJson(res, 412, {current: stored ?? null});
       return;
     }
     this.revision += 1;
@@ -149,10 +150,10 @@
     const prefix = query.get('prefix') ?? '';
     const after = Number(query.get('after') ?? 0);
     const waitMs = Math.min(Number(query.get('wait-ms') ?? 0), MAX_WAIT_MS);
-    const giveUpAt = Date.now() + waitMs;
+    const deadlineAt = Date.now() + waitMs;
     let changed = this.changedSince(prefix, after);
-    while (changed.length === 0 && Date.now() < giveUpAt && !res.destroyed) {
-      await this.waitForChange(giveUpAt - Date.now(), res);
+    while (changed.length === 0 && Date.now() < deadlineAt && !res.destroyed) {
+      await this.waitForChange(deadlineAt - Date.now(), res);
       changed = this.changedSince(prefix, after);
     }
     if (this.faults.outage) {
@@ -200,20 +201,20 @@
   }
 
   private readAsOf(key: string): StoredObject | undefined {
-    const limit = this.faults.staleRevision;
-    if (limit === null) {
+    const maxRevision = this.faults.staleRevision;
+    if (maxRevision === null) {
       return this.current.get(key);
     }
     return this.history.findLast(
-      object => object.key === key && object.version <= limit,
+      object => object.key === key && object.version <= maxRevision,
     );
   }
 
   private laggedInstances(): Instance[] {
-    const before = Date.now() - this.faults.listLagMs;
+    const visibleUntil = Date.now() - this.faults.listLagMs;
     const byId = new Map<string, Instance>();
     for (const {instance, listedAt} of this.listed) {
-      if (listedAt <= before) {
+      if (listedAt <= visibleUntil) {
         byId.set(instance.id, instance);
       }
     }
--- a/standins/service.ts
+++ b/standins/service.ts
@@ -1,7 +1,6 @@
 /**
- * Stand-in of a plain service, a ledger: balances, receipts and top-ups. It
- * counts the runs of each key over all its instances' lives, so that a
- * second run shows.
+ * Stand-in for a plain service: a ledger with balances and top-ups. Counts the
+ * runs of each idempotency key, so that tests detect a second run.
  */
 import type * as http from 'node:http';
 import * as v from 'valibot';
@@ -16,7 +15,7 @@
   amount: v.pipe(v.number(), v.minValue(0)),
 });
 
-/** Runs by key; several instances of the service may share one. */
+/** Runs by idempotency key; instances of the service can share one map. */
 export type RunCounts = Map<string, number>;
 
 export class ServiceStandin {
@@ -49,7 +48,7 @@
     res: http.ServerResponse,
   ): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://standin');
-    const request = {
+    const headers = {
       'ferrycleat-request': body.headerOf(req, 'ferrycleat-request') ?? '',
     };
     if (url.pathname === '/standin/faults') {
@@ -59,18 +58,18 @@
     } else if (this.faults.retryAfter !== null) {
       this.rejections.reject(req, res, this.faults.retryAfter);
     } else if (url.pathname === '/runs') {
-      body.sendJson(res, 200, Object.fromEntries(this.runs), request);
+      body.sendJson(res, 200, Object.fromEntries(this.runs), headers);
     } else if (this.faults.failing) {
       req.resume();
-      body.sendJson(res, 500, {error: 'the ledger fails'}, request);
+      body.sendJson(res, 500, {error: 'stand-in set to fail'}, headers);
     } else if (url.pathname.startsWith('/balances/')) {
       const member = url.pathname.slice('/balances/'.length);
-      body.sendJson(res, 200, {member, balance: 125.5}, request);
+      body.sendJson(res, 200, {member, balance: 125.5}, headers);
     } else if (url.pathname === '/top-ups' && req.method === 'POST') {
-      await this.topUp(req, res, request);
+      await this.topUp(req, res, headers);
     } else {
       req.resume();
-      body.sendJson(res, 404, {error: 'no such record'}, request);
+      body.sendJson(res, 404, {error: 'not found'}, headers);
     }
   }
 
@@ -82,7 +81,12 @@
     const read = await body.readJson(req, MAX_BODY_BYTES);
     const parsed = v.safeParse(topUpSchema, read.ok ? read.value : undefined);
     if (!parsed.success) {
-      body.sendJson(res, 400, {error: 'phone and amount'}, headers);
+      body.sendJson(
+        res,
+        400,
+        {error: 'expected a phone and an amount of at least 0'},
+        headers,
+      );
       return;
     }
     const key = body.headerOf(req, 'idempotency-key') ?? '';
