--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,17 +1,17 @@
-/** The benches: `npm run bench -- <name> [--json] [--seed n]`. */
+/** Runs a benchmark: `npm run bench -- <name> [--json] [--seed n]`. */
 import {Command} from 'commander';
 import * as random from '../src/random';
 
-/** One bench: runs, and answers what `--json` prints. */
 export interface Benchmark {
   readonly name: string;
   readonly description: string;
+  /** Returns the result to print as JSON. */
   run(): Promise<unknown>;
 }
 
 const DEFAULT_SEED = 7;
 
-/** Benches by name, each loaded when asked for. */
+/** Loaders by name, so that only the selected benchmark is loaded. */
 const BENCHMARKS: Readonly<Record<string, () => Promise<Benchmark>>> = {
   processor: async () => (await import('./processor')).benchmark,
   planning: async () => (await import('./planning')).benchmark,
@@ -33,14 +33,16 @@
   const [name] = program.args;
   const load = BENCHMARKS[name ?? ''];
   if (load === undefined) {
-    program.error(`no bench ${name}; there are ${Object.keys(BENCHMARKS)}`);
+    program.error(
+      `unknown benchmark ${name}; expected one of ${Object.keys(BENCHMARKS)}`,
+    );
   }
   const options = program.opts<{json?: boolean; seed?: number}>();
   const seed = options.seed ?? DEFAULT_SEED;
   random.seed(seed);
-  const bench = await load();
-  const result = await bench.run();
-  const command = `npm run bench -- ${bench.name} --seed ${seed}`;
+  const benchmark = await load();
+  const result = await benchmark.run();
+  const command = `npm run bench -- ${benchmark.name} --seed ${seed}`;
   const document = {command, seed, result};
   const space = options.json ? undefined : 2;
   process.stdout.write(JSON.stringify(document, null, space) + '\n');
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -1,7 +1,7 @@
 /**
- * Subsets of targets per entry: how evenly entries spread over targets, and
- * how much a subset changes when a target comes or goes, beside a subset
- * drawn anew at random.
+ * Subsets of targets per entry: how evenly entries spread over targets, and how
+ * many members of a subset change when a target leaves, compared with drawing a
+ * new random subset.
  */
 import type {Instance} from '../src/platform/types';
 import * as random from '../src/random';
@@ -35,46 +35,50 @@
   return new Set(list.map(instance => instance.id));
 }
 
-/** Members that are in one set and not in the other. */
+/** Counts the members of `after` that are not in `before`. */
 function countAdded(before: Set<string>, after: Set<string>): number {
   return [...after].filter(id => !before.has(id)).length;
 }
 
 function drawRandomSubset(list: readonly Instance[]): Instance[] {
-  const left = [...list];
+  const remaining = [...list];
   const drawn: Instance[] = [];
-  while (drawn.length < SUBSET_SIZE && left.length > 0) {
-    drawn.push(...left.splice(random.below(left.length), 1));
+  while (drawn.length < SUBSET_SIZE && remaining.length > 0) {
+    drawn.push(...remaining.splice(random.below(remaining.length), 1));
   }
   return drawn;
 }
 
 function measure(targets: number, entries: number) {
   const list = makeInstances(targets);
-  const users = new Map<string, number>(list.map(i => [i.id, 0]));
+  const entryCounts = new Map<string, number>(list.map(i => [i.id, 0]));
   const moved: number[] = [];
-  const movedDrawn: number[] = [];
+  const movedAtRandom: number[] = [];
   for (let entry = 0; entry < entries; entry += 1) {
     const id = `entry-${entry}`;
     const subset = idsOf(chooseSubset(id, list, SUBSET_SIZE));
-    subset.forEach(member => users.set(member, users.get(member)! + 1));
-    const drawn = idsOf(drawRandomSubset(list));
+    subset.forEach(member =>
+      entryCounts.set(member, entryCounts.get(member)! + 1),
+    );
+    const randomSubset = idsOf(drawRandomSubset(list));
     for (let change = 0; change < CHANGES_PER_ENTRY; change += 1) {
-      const gone = random.below(list.length);
-      const fewer = list.filter((_, at) => at !== gone);
+      const removed = random.below(list.length);
+      const remaining = list.filter((_, index) => index !== removed);
       moved.push(
-        countAdded(subset, idsOf(chooseSubset(id, fewer, SUBSET_SIZE))),
+        countAdded(subset, idsOf(chooseSubset(id, remaining, SUBSET_SIZE))),
+      );
+      movedAtRandom.push(
+        countAdded(randomSubset, idsOf(drawRandomSubset(remaining))),
       );
-      movedDrawn.push(countAdded(drawn, idsOf(drawRandomSubset(fewer))));
     }
   }
-  const counts = [...users.values()];
+  const counts = [...entryCounts.values()];
   return {
     targets,
     entries,
     movedPerChange: stats.mean(moved),
     mostMovedPerChange: Math.max(...moved),
-    movedPerChangeDrawnAnew: stats.mean(movedDrawn),
+    movedPerChangeDrawnAnew: stats.mean(movedAtRandom),
     entriesPerTarget: stats.mean(counts),
     fewestEntriesPerTarget: Math.min(...counts),
     mostEntriesPerTarget: Math.max(...counts),
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -1,4 +1,7 @@
-/** `npm run soak -- --seed N --minutes M`: failures over a whole fleet. */
+/**
+ * Soak test: injects random failures into a fleet and reports violations.
+ * `npm run soak -- --seed N --minutes M`.
+ */
 import {Command} from 'commander';
 import * as chaos from '../features/support/chaos';
 import * as random from '../src/random';
--- a/scripts/bench.js
+++ b/scripts/bench.js
@@ -1,4 +1,4 @@
 #!/usr/bin/env node
 'use strict';
-// Runs the bench named on the command line.
+// Runs the benchmark named on the command line.
 require('./bundle').runBundled('bench/main.ts', 'bench');
--- a/scripts/build.js
+++ b/scripts/build.js
@@ -1,8 +1,9 @@
 #!/usr/bin/env node
 'use strict';
 // Bundles src/main.ts and, unless --bundle-only is given, makes the single
-// executable dist/ferrycleat from the bundle and this machine's Node. With
-// --target it only makes the bundle that deploy/system.toml runs.
+// executable dist/ferrycleat from the bundle and the Node.js binary running
+// this script. With --target, only builds the bundle that deploy/system.toml
+// runs.
 const fs = require('node:fs');
 const path = require('node:path');
 const {execFileSync, spawnSync} = require('node:child_process');
@@ -13,7 +14,7 @@
 const BLOB = path.join(ROOT, 'dist', 'ferrycleat.blob');
 const BINARY = path.join(ROOT, 'dist', 'ferrycleat');
 const SEA_CONFIG = path.join(ROOT, 'dist', 'sea-config.json');
-/** Arguments of the runtime and the role, as the deploy file words them. */
+/** Captures the Node.js arguments and the role of a process to deploy. */
 const RUN_LINE = /^run = "node (.*)target\/ferrycleat\.js site (\w+)"$/gm;
 const SEA_FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
 
@@ -39,33 +40,36 @@
   fs.rmSync(SEA_CONFIG);
 }
 
-/** Only what runs at a site: a process is up sooner with less to load. */
+/** Bundles only the roles of a site, so that processes start faster. */
 function buildTarget() {
   const target = path.join(ROOT, 'target');
   fs.rmSync(target, {recursive: true, force: true});
   bundle('platform/main.ts', path.join(target, 'site.js'), {
-    // Names stay, for stacks in logs.
+    // Identifiers are not minified, to keep stack traces readable.
     minifyWhitespace: true,
     minifySyntax: true,
     charset: 'ascii',
   });
-  dropFirstLine(path.join(target, 'site.js'));
+  removeShebang(path.join(target, 'site.js'));
   const loader = path.join(target, 'ferrycleat.js');
   fs.copyFileSync(path.join(__dirname, 'loader.js'), loader);
-  const deployed = fs.readFileSync(path.join(ROOT, 'deploy', 'system.toml'));
-  for (const [, args, role] of String(deployed).matchAll(RUN_LINE)) {
-    compileAhead(loader, args.split(' ').filter(Boolean), role);
+  const deployFile = fs.readFileSync(path.join(ROOT, 'deploy', 'system.toml'));
+  for (const [, args, role] of String(deployFile).matchAll(RUN_LINE)) {
+    writeCodeCache(loader, args.split(' ').filter(Boolean), role);
   }
 }
 
-/** The line that names the runtime can't stand within other code. */
-function dropFirstLine(file) {
+/** The loader wraps the bundle in a function, where a shebang is invalid. */
+function removeShebang(file) {
   const text = fs.readFileSync(file, 'utf8');
   fs.writeFileSync(file, text.slice(text.indexOf('\n') + 1));
 }
 
-/** Has a role load all its code; it then ends for want of settings. */
-function compileAhead(loader, args, role) {
+/**
+ * Runs a role so that the loader writes its code cache. The role loads all its
+ * code and then exits, as its settings are empty.
+ */
+function writeCodeCache(loader, args, role) {
   spawnSync(process.execPath, [...args, loader, 'site', role], {
     env: {...process.env, FERRYCLEAT_WRITE_CACHE: '1', FERRYCLEAT_SETTINGS: ''},
     stdio: 'ignore',
--- a/scripts/bundle.js
+++ b/scripts/bundle.js
@@ -1,5 +1,5 @@
 'use strict';
-// Bundling, for the build and for the tools that run from a bundle.
+// Bundles entry points, for the build and for the scripts that run a bundle.
 const fs = require('node:fs');
 const path = require('node:path');
 const esbuild = require('esbuild');
@@ -19,7 +19,7 @@
   });
 }
 
-// Each run has a bundle of its own, so that two may run at once.
+// The process id in the name keeps concurrent runs from sharing a bundle.
 function runBundled(entryPoint, name) {
   const outfile = path.join(ROOT, 'dist', `${name}-${process.pid}.js`);
   bundle(entryPoint, outfile);
--- a/scripts/closing-line.js
+++ b/scripts/closing-line.js
@@ -1,5 +1,5 @@
 'use strict';
-// A jest reporter that ends with one plain line of counts.
+// Jest reporter that prints the numbers of passed and failed tests last.
 class ClosingLine {
   onRunComplete(_contexts, results) {
     const {numPassedTests, numFailedTests} = results;
--- a/scripts/loader.js
+++ b/scripts/loader.js
@@ -1,23 +1,21 @@
 #!/usr/bin/env node
 'use strict';
-// Runs the bundle of a site with the code that the build compiled for the same
-// runtime and arguments; where that doesn't fit, the runtime compiles it anew.
-// It saves a process 0.04 s of a core at each start, of 0.06 s for our own code
-// (mean of 20 starts), and all processes of a site may start at a time.
+// Runs the bundle of a site from the code cache that the build wrote, to save
+// processor time when many processes start at once. V8 compiles the bundle if
+// the cache is missing or was made by another version or with other arguments.
 const fs = require('node:fs');
-const module_ = require('node:module');
+const nodeModule = require('node:module');
 const path = require('node:path');
 const vm = require('node:vm');
 
-/** Compiles the bundle beside this file. */
 function compile() {
   const filename = path.join(__dirname, 'site.js');
-  // The bundle is ASCII, which is read and kept fastest so.
-  const code = module_.wrap(fs.readFileSync(filename, 'latin1'));
+  // The build emits ASCII, which is decoded and stored fastest as latin1.
+  const code = nodeModule.wrap(fs.readFileSync(filename, 'latin1'));
   return new vm.Script(code, {filename, cachedData: readCache()});
 }
 
-/** The runtime takes no code that was compiled under other arguments. */
+/** V8 rejects a cache that was made with other Node.js arguments. */
 function cachePath() {
   return path.join(__dirname, `site${process.execArgv.join('')}.cache`);
 }
@@ -32,7 +30,7 @@
 
 const script = compile();
 if (process.env.FERRYCLEAT_WRITE_CACHE === '1') {
-  // The build's call, which ends for want of settings once all is loaded.
+  // Set by the build; the process exits without settings once all is loaded.
   process.on('exit', () => {
     fs.writeFileSync(cachePath(), script.createCachedData());
   });
--- a/scripts/soak.js
+++ b/scripts/soak.js
@@ -1,4 +1,4 @@
 #!/usr/bin/env node
 'use strict';
-// Runs the soak.
+// Runs the soak test.
 require('./bundle').runBundled('bench/soak.ts', 'soak');
--- a/scripts/test.js
+++ b/scripts/test.js
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 'use strict';
-// Runs all tests. A failing test that stands in KNOWN-RED.txt is printed and
-// passed over; any other failure fails the run.
+// Runs the tests. Failures listed in KNOWN-RED.txt are printed but do not fail
+// the run; any other failure does.
 const fs = require('node:fs');
 const path = require('node:path');
 const {spawnSync} = require('node:child_process');
@@ -44,7 +44,7 @@
           .map(test => test.fullName),
   );
   const unknown = failed.filter(name => !known.includes(name));
-  for (const name of failed.filter(one => known.includes(one))) {
+  for (const name of failed.filter(test => known.includes(test))) {
     process.stdout.write(`known red: ${name}\n`);
   }
   for (const name of unknown) {
