--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,7 +1,7 @@
 /**
- * Slopes for docs/CAPACITY.md: state by accounts and targets, size and
- * processor time of each control message, and real idle sidecars by the
- * dozen on one machine with the store calls they make.
+ * Resource use by size, for docs/CAPACITY.md: memory per client account and
+ * target, bytes and processor time per control message, and the load of idle
+ * sidecar processes on the host and on the store.
  */
 import * as http from 'node:http';
 import type {Socket} from 'node:net';
@@ -31,7 +31,7 @@
 const MEASURED_MESSAGES = 1_500;
 const HALL_COUNT = 6;
 const PROCESS_COUNTS = [10, 40, 100];
-/** Long enough for every first watch to end: only watchers go on. */
+/** Exceeds a first watch; afterwards only watchers call the store. */
 const SETTLE_MS = 26_000;
 const MEASURE_MS = 20_000;
 const KILOBYTE = 1_024;
@@ -55,16 +55,16 @@
   const objects: StoredObject[] = [
     {key: templateKey('demo'), version: 1, value: change(documents[0])},
   ];
-  for (let at = 0; at < count; at += 1) {
-    const id = `account-${at}`;
-    const digest = at.toString(16).padStart(64, '0');
+  for (let index = 0; index < count; index += 1) {
+    const id = `account-${index}`;
+    const digest = index.toString(16).padStart(64, '0');
     const document = {
       ...{kind: 'account', id, template: 'demo'},
       ...{keyDigests: [digest], parameters: {weight: 2, burst: 50}},
     };
     objects.push({
       key: accountKey(id),
-      version: at + 2,
+      version: index + 2,
       value: change(document),
     });
   }
@@ -78,18 +78,18 @@
   objects.length = 0;
   const before = heapUsedBytes();
   const replica = new Replica();
-  const begunAt = performance.now();
+  const startedAt = performance.now();
   replica.mergeListing({revision: count + 2, items: copy, removed: []});
-  const fillMs = performance.now() - begunAt;
-  const held = heapUsedBytes() - before;
-  const oneMs = measureOneChange(replica, count);
+  const fillMs = performance.now() - startedAt;
+  const heldBytes = heapUsedBytes() - before;
+  const changeMs = measureOneChange(replica, count);
   return {
     accounts: replica.accountCount,
     bytesPerAccountOnTheWire: bytes / count,
-    heapBytesPerAccountBesideTheObject: held / count,
+    heapBytesPerAccountBesideTheObject: heldBytes / count,
     objectHeapBytesPerAccount: objectHeapBytes(count),
     fillMs,
-    oneChangeMs: oneMs,
+    oneChangeMs: changeMs,
   };
 }
 
@@ -101,31 +101,32 @@
   return held.length > 0 ? bytes / count : 0;
 }
 
-/** Processor time of one accepted change in a full copy. */
+/** Milliseconds that a full replica takes to apply one change. */
 function measureOneChange(replica: Replica, count: number): number {
   const CHANGES = 200;
   const [, sample] = makeAccountObjects(1);
-  const begunAt = performance.now();
-  for (let at = 0; at < CHANGES; at += 1) {
+  const startedAt = performance.now();
+  for (let index = 0; index < CHANGES; index += 1) {
     replica.mergeListing({
-      revision: count + 3 + at,
-      items: [{...sample!, version: count + 3 + at}],
+      revision: count + 3 + index,
+      items: [{...sample!, version: count + 3 + index}],
       removed: [],
     });
   }
-  return (performance.now() - begunAt) / CHANGES;
+  return (performance.now() - startedAt) / CHANGES;
 }
 
 function makeInstances(count: number): Instance[] {
-  return Array.from({length: count}, (_, at) => ({
-    id: `target-${at}`,
-    hall: `hall-${at % HALL_COUNT}`,
+  return Array.from({length: count}, (_, index) => ({
+    id: `target-${index}`,
+    hall: `hall-${index % HALL_COUNT}`,
     role: 'sidecar' as const,
-    address: `10.0.${at >> 8}.${at & 255}:7000`,
+    address: `10.0.${index >> 8}.${index & 255}:7000`,
     state: 'live' as const,
-    serves: at % 10 === 0 ? 'service/ledger' : `model/assistant-${at % 5}`,
-    group: `group-${at >> 6}`,
-    rank: at & 63,
+    serves:
+      index % 10 === 0 ? 'service/ledger' : `model/assistant-${index % 5}`,
+    group: `group-${index >> 6}`,
+    rank: index & 63,
   }));
 }
 
@@ -146,20 +147,20 @@
       1,
     );
   }
-  const held = heapUsedBytes() - before;
-  const begunAt = performance.now();
+  const heldBytes = heapUsedBytes() - before;
+  const startedAt = performance.now();
   chooseSubset('entry-1', list, SUBSET_SIZE);
-  const chooseMs = performance.now() - begunAt;
+  const chooseMs = performance.now() - startedAt;
   return {
     targets: count,
     members: members.length,
-    heapBytesPerMember: held / members.length,
+    heapBytesPerMember: heldBytes / members.length,
     listBytesPerTarget: listBytes / count,
     chooseSubsetMs: chooseMs,
   };
 }
 
-/** Bytes and processor time of a control message, both sides together. */
+/** Bytes and processor time per message, client and server together. */
 async function measureMessage<P, R>(
   method: Method<P, R>,
   params: P,
@@ -213,7 +214,7 @@
     step: 1,
     map: {version: 2, layers: load.firstLayers(8, 128, 64)},
   };
-  const answer = {
+  const armResult = {
     refusal: null,
     answer: {
       ...{rank: 1, incarnation: change.id, generation: 1, step: 1, stepMs: 5},
@@ -245,16 +246,16 @@
     await measureMessage(
       groupsApp.arm,
       {change, fence, incarnation: ''},
-      answer,
+      armResult,
     ),
     await measureMessage(groupsApp.counts, {}, {counts, rankMs: 1, stepMs: 1}),
   ];
 }
 
-/** Real idle sidecars, and the store calls a second that they make. */
-async function measureProcesses(count: number, first: number) {
-  const platform = `127.0.0.1:${first}`;
-  const target = `127.0.0.1:${first + 1}`;
+/** Starts idle sidecars and measures them and the calls that the store gets. */
+async function measureProcesses(count: number, firstPort: number) {
+  const platform = `127.0.0.1:${firstPort}`;
+  const target = `127.0.0.1:${firstPort + 1}`;
   const fleet = new hop.BenchFleet();
   try {
     fleet.start('platform', ['standin', 'platform', '--listen', platform]);
@@ -263,8 +264,8 @@
       async () => (await hop.sendJson(platform, '/standin/faults', {})) === 200,
     );
     await hop.applySite(platform);
-    for (let at = 0; at < count; at += 1) {
-      await startSidecar(fleet, platform, target, at, first + 2 + at);
+    for (let index = 0; index < count; index += 1) {
+      await startSidecar(fleet, platform, target, index, firstPort + 2 + index);
     }
     await new Promise(done => setTimeout(done, SETTLE_MS));
     const callsBefore = await readStoreCalls(platform);
@@ -272,17 +273,21 @@
     const ticksBefore = names.map(name => fleet.usage(name).ticks);
     await new Promise(done => setTimeout(done, MEASURE_MS));
     const calls = await readStoreCalls(platform);
-    const uses = names.map(name => fleet.usage(name));
+    const usages = names.map(name => fleet.usage(name));
     const seconds = MEASURE_MS / 1_000;
-    const ticks = uses.map((use, at) => use.ticks - ticksBefore[at]!);
-    const perSecond = (a: number, b: number) => (b - a) / seconds;
+    const ticks = usages.map(
+      (usage, index) => usage.ticks - ticksBefore[index]!,
+    );
+    const perSecond = (before: number, after: number) =>
+      (after - before) / seconds;
     const mean = (values: readonly number[]) =>
       values.reduce((sum, value) => sum + value, 0) / values.length;
     return {
       processes: count,
       halls: Math.min(HALL_COUNT, count),
-      rssMb: (mean(uses.map(use => use.rssKb)) * KILOBYTE) / MEGABYTE,
-      maxRssMb: (Math.max(...uses.map(u => u.rssKb)) * KILOBYTE) / MEGABYTE,
+      rssMb: (mean(usages.map(usage => usage.rssKb)) * KILOBYTE) / MEGABYTE,
+      maxRssMb:
+        (Math.max(...usages.map(usage => usage.rssKb)) * KILOBYTE) / MEGABYTE,
       coreShare: mean(ticks) / 100 / seconds,
       maxCoreShare: Math.max(...ticks) / 100 / seconds,
       storeReadsPerSecond: perSecond(callsBefore.reads, calls.reads),
@@ -298,11 +303,11 @@
   fleet: hop.BenchFleet,
   platform: string,
   target: string,
-  at: number,
+  index: number,
   port: number,
 ): Promise<void> {
-  const id = `side-${at}`;
-  const hall = `hall-${at % HALL_COUNT}`;
+  const id = `side-${index}`;
+  const hall = `hall-${index % HALL_COUNT}`;
   const address = `127.0.0.1:${port}`;
   const serves = 'model/assistant';
   fleet.start(id, [
@@ -343,16 +348,16 @@
   const targets = TARGET_COUNTS.map(measureTargets);
   const messages = await measureMessages();
   const processes = [];
-  let first = 23_000;
+  let firstPort = 23_000;
   for (const count of PROCESS_COUNTS) {
-    processes.push(await measureProcesses(count, first));
-    first += count + 10;
+    processes.push(await measureProcesses(count, firstPort));
+    firstPort += count + 10;
   }
   return {accounts, targets, messages, processes};
 }
 
 export const benchmark: Benchmark = {
   name: 'capacity',
-  description: 'slopes for the capacity page',
+  description: 'resource use by the number of accounts, targets and processes',
   run,
 };
--- a/bench/fake-engines.ts
+++ b/bench/fake-engines.ts
@@ -1,11 +1,10 @@
 /**
- * A small fake of the engines' interface on virtual time: groups of ranks in
- * lock-step that batch continuously, read prompts in chunks and cache
- * prefixes in limited memory. No network, no processes.
+ * Simulates model engines on virtual time: groups of ranks in lock-step with
+ * continuous batching, chunked prefill and a limited prefix cache. Uses no
+ * network and no processes. All times are milliseconds.
  */
 import * as random from '../src/random';
 
-/** One request at a fake rank. */
 export interface FakeRequest {
   readonly account: string;
   readonly prefix: string;
@@ -13,7 +12,7 @@
   readonly suffixTokens: number;
   readonly outputTokens: number;
   readonly arrivedAt: number;
-  /** Virtual time after which nobody wants the answer. */
+  /** Virtual time after which the caller no longer waits. */
   readonly deadlineAt: number;
   prefillTokensLeft: number;
   outputTokensLeft: number;
@@ -22,7 +21,7 @@
   endedAt: number;
 }
 
-/** Costs of a fake rank, in milliseconds. */
+/** Step times and limits of a rank. */
 export const COSTS = {
   baseMs: 4.5,
   perDecodeMs: 0.05,
@@ -46,7 +45,6 @@
     readonly hall: string,
   ) {}
 
-  /** Takes a request in. */
   submit(request: FakeRequest): void {
     this.waiting.push(request);
   }
@@ -60,18 +58,18 @@
     return all.reduce((sum, request) => sum + request.prefillTokensLeft, 0);
   }
 
-  /** One step's work; answers its time. */
+  /** Runs one step and returns its duration. */
   runStep(now: number, onEnd: (request: FakeRequest) => void): number {
     while (this.running.length < COSTS.maxRunning && this.waiting.length > 0) {
       this.startRequest(this.waiting.shift()!);
     }
-    let budget: number = COSTS.chunkTokens;
+    let prefillBudget: number = COSTS.chunkTokens;
     let decodes = 0;
     for (const request of [...this.running]) {
       if (request.prefillTokensLeft > 0) {
-        const read = Math.min(budget, request.prefillTokensLeft);
+        const read = Math.min(prefillBudget, request.prefillTokensLeft);
         request.prefillTokensLeft -= read;
-        budget -= read;
+        prefillBudget -= read;
         continue;
       }
       decodes += 1;
@@ -83,19 +81,20 @@
         onEnd(request);
       }
     }
-    const read = COSTS.chunkTokens - budget;
+    const prefilled = COSTS.chunkTokens - prefillBudget;
     const ownMs =
       COSTS.baseMs +
       decodes * COSTS.perDecodeMs +
-      read * COSTS.perPrefillTokenMs;
+      prefilled * COSTS.perPrefillTokenMs;
     this.rankMs = ownMs * this.slowness;
-    this.busyMs += decodes * COSTS.perDecodeMs + read * COSTS.perPrefillTokenMs;
+    this.busyMs +=
+      decodes * COSTS.perDecodeMs + prefilled * COSTS.perPrefillTokenMs;
     return this.stalledUntil > now ? this.stalledUntil - now : this.rankMs;
   }
 
   private startRequest(request: FakeRequest): void {
-    const held = this.cache.get(request.prefix) ?? 0;
-    request.cachedTokens = Math.min(held, request.prefixTokens);
+    const cached = this.cache.get(request.prefix) ?? 0;
+    request.cachedTokens = Math.min(cached, request.prefixTokens);
     request.prefillTokensLeft =
       request.prefixTokens + request.suffixTokens - request.cachedTokens;
     this.cache.delete(request.prefix);
@@ -119,7 +118,7 @@
     readonly ranks: readonly FakeRank[],
   ) {}
 
-  /** Runs the step that begins now and sets when the next one does. */
+  /** Runs a step and sets the time of the next one. */
   runStep(now: number, onEnd: (request: FakeRequest) => void): void {
     const times = this.ranks.map(rank => rank.runStep(now, onEnd));
     this.stepMs = Math.max(...times);
@@ -129,50 +128,49 @@
   }
 }
 
-/** Three groups of four ranks, a group to a hall. */
+/** Makes three groups of four ranks, one group per hall. */
 export function makeGroups(): FakeGroup[] {
   const HALLS = ['hall-a', 'hall-b', 'hall-c'];
   const RANKS = 4;
   return HALLS.map(
-    (hall, at) =>
+    (hall, index) =>
       new FakeGroup(
-        `group-${at}`,
+        `group-${index}`,
         Array.from(
           {length: RANKS},
-          (_, rank) => new FakeRank(`target-${at * RANKS + rank}`, hall),
+          (_, rank) => new FakeRank(`target-${index * RANKS + rank}`, hall),
         ),
       ),
   );
 }
 
-/** Ten client accounts, a few of them large, by share of the requests. */
+/** Client accounts with their share of the requests. */
 export const ACCOUNTS = [
   0.3, 0.2, 0.14, 0.1, 0.07, 0.06, 0.05, 0.04, 0.02, 0.02,
-].map((share, at) => ({id: `account-${at}`, share}));
+].map((share, index) => ({id: `account-${index}`, share}));
 
 const PREFIXES_PER_ACCOUNT = 30;
 
-/** Draws a request of any account. */
+/** Draws a request; the account is chosen by its share. */
 export function drawRequest(now: number, timeoutMs: number): FakeRequest {
-  let left = random.unit();
+  let remaining = random.unit();
   const account =
     ACCOUNTS.find(one => {
-      left -= one.share;
-      return left < 0;
+      remaining -= one.share;
+      return remaining < 0;
     }) ?? ACCOUNTS[0]!;
   return drawAccountRequest(account.id, now, timeoutMs);
 }
 
-/** Draws a request of one account. */
 export function drawAccountRequest(
   account: string,
   now: number,
   timeoutMs: number,
 ): FakeRequest {
-  const popular = Math.floor(random.unit() ** 2 * PREFIXES_PER_ACCOUNT);
+  const prefix = Math.floor(random.unit() ** 2 * PREFIXES_PER_ACCOUNT);
   return {
     account,
-    prefix: `${account}/${popular}`,
+    prefix: `${account}/${prefix}`,
     prefixTokens: 1_500,
     suffixTokens: 100 + random.below(300),
     outputTokens: 20 + random.below(80),
--- a/bench/hop.ts
+++ b/bench/hop.ts
@@ -1,7 +1,7 @@
 /**
- * What a hop through entry and sidecar costs: the same calls straight to the
- * stand-in and through both, turn by turn in one run, at 1, 32 and 256
- * concurrent streams; and what idle processes use.
+ * Cost of the hop through entry and sidecar. The same calls go directly to the
+ * stand-in service and through both, in alternating rounds, at several levels
+ * of concurrency. Also measures idle processes. Reads /proc, so needs Linux.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
@@ -21,14 +21,14 @@
 
 const agent = new http.Agent({keepAlive: true, maxSockets: 512});
 
-/** One small lookup; answers its time in milliseconds. */
+/** Sends one small request and returns its duration in milliseconds. */
 function timeLookup(
   address: string,
   urlPath: string,
   headers: http.OutgoingHttpHeaders,
 ): Promise<number> {
   return new Promise((resolve, reject) => {
-    const begunAt = performance.now();
+    const startedAt = performance.now();
     const req = http.get(
       `http://${address}${urlPath}`,
       {agent, headers},
@@ -39,7 +39,7 @@
             reject(new RangeError(`status ${res.statusCode}`));
             return;
           }
-          resolve(performance.now() - begunAt);
+          resolve(performance.now() - startedAt);
         });
       },
     );
@@ -49,17 +49,17 @@
 
 async function runRound(
   concurrency: number,
-  one: () => Promise<number>,
+  sendOne: () => Promise<number>,
 ): Promise<{times: number[]; perSecond: number}> {
   const times: number[] = [];
-  const begunAt = performance.now();
-  const line = async () => {
-    while (performance.now() - begunAt < ROUND_MS) {
-      times.push(await one());
+  const startedAt = performance.now();
+  const worker = async () => {
+    while (performance.now() - startedAt < ROUND_MS) {
+      times.push(await sendOne());
     }
   };
-  await Promise.all(Array.from({length: concurrency}, line));
-  const seconds = (performance.now() - begunAt) / 1_000;
+  await Promise.all(Array.from({length: concurrency}, worker));
+  const seconds = (performance.now() - startedAt) / 1_000;
   return {times, perSecond: times.length / seconds};
 }
 
@@ -73,7 +73,7 @@
   return {rssKb: Number(rss?.[1] ?? 0), ticks};
 }
 
-/** Starts processes; `close` ends them. */
+/** Child processes by name; `close` kills them. */
 export class BenchFleet {
   readonly children = new Map<string, childProcess.ChildProcess>();
 
@@ -97,7 +97,7 @@
   }
 }
 
-/** Posts JSON; resolves with the status, 0 where nothing answered. */
+/** Sends JSON and returns the response's status, or 0 on a failed request. */
 export function sendJson(
   address: string,
   urlPath: string,
@@ -123,10 +123,11 @@
   });
 }
 
+/** Returns when the check passes, or after the timeout even if it does not. */
 export async function waitUntil(check: () => Promise<boolean>): Promise<void> {
   const TIMEOUT_MS = 30_000;
-  const giveUpAt = Date.now() + TIMEOUT_MS;
-  while (!(await check()) && Date.now() < giveUpAt) {
+  const deadlineAt = Date.now() + TIMEOUT_MS;
+  while (!(await check()) && Date.now() < deadlineAt) {
     await new Promise(resolve => setTimeout(resolve, 50));
   }
 }
@@ -138,7 +139,7 @@
   return `${HOST}:${PORTS[name]}`;
 }
 
-/** Puts the benches' site in force. */
+/** Applies the benchmarks' configuration to the platform. */
 export async function applySite(platform: string): Promise<void> {
   const apply = childProcess.spawn(process.execPath, [
     BUNDLE,
@@ -214,7 +215,7 @@
   );
 }
 
-/** The runtime alone: a process that does nothing. */
+/** Resident megabytes of an idle Node.js process without the application. */
 async function measureBareRuntimeMb(): Promise<number> {
   const child = childProcess.spawn(process.execPath, [
     '-e',
@@ -233,38 +234,38 @@
     const resting = await measureIdle(fleet);
     const rows = [];
     for (const concurrency of CONCURRENCIES) {
-      const straight: number[] = [];
-      const through: number[] = [];
-      const rates = {straight: 0, through: 0};
-      for (let turn = 0; turn < ROUNDS; turn += 1) {
-        const a = await runRound(concurrency, () =>
+      const directMs: number[] = [];
+      const proxiedMs: number[] = [];
+      const rates = {direct: 0, proxied: 0};
+      for (let round = 0; round < ROUNDS; round += 1) {
+        const direct = await runRound(concurrency, () =>
           timeLookup(addressOf('ledger'), '/balances/1', {}),
         );
-        const b = await runRound(concurrency, () =>
+        const proxied = await runRound(concurrency, () =>
           timeLookup(addressOf('entry'), '/ledger/balances/1', AUTH_HEADERS),
         );
-        straight.push(...a.times);
-        through.push(...b.times);
-        rates.straight += a.perSecond / ROUNDS;
-        rates.through += b.perSecond / ROUNDS;
+        directMs.push(...direct.times);
+        proxiedMs.push(...proxied.times);
+        rates.direct += direct.perSecond / ROUNDS;
+        rates.proxied += proxied.perSecond / ROUNDS;
       }
-      const added = (share: number) =>
-        stats.quantile(through, share) - stats.quantile(straight, share);
+      const addedMs = (share: number) =>
+        stats.quantile(proxiedMs, share) - stats.quantile(directMs, share);
       rows.push({
         concurrency,
-        addedP50Ms: added(0.5),
-        addedP99Ms: added(0.99),
-        perSecondRatio: rates.through / rates.straight,
-        throughPerSecond: rates.through,
+        addedP50Ms: addedMs(0.5),
+        addedP99Ms: addedMs(0.99),
+        perSecondRatio: rates.proxied / rates.direct,
+        throughPerSecond: rates.proxied,
       });
     }
-    const loaded = Object.fromEntries(
+    const loadedMb = Object.fromEntries(
       ['entry', 'sidecar'].map(name => [
         name,
         fleet.usage(name).rssKb / KILOBYTE,
       ]),
     );
-    return {rows, bareRuntimeMb: bareMb, resting, loadedRssMb: loaded};
+    return {rows, bareRuntimeMb: bareMb, resting, loadedRssMb: loadedMb};
   } finally {
     await fleet.close();
     agent.destroy();
@@ -273,6 +274,6 @@
 
 export const benchmark: Benchmark = {
   name: 'hop',
-  description: 'the cost of a hop, and of idle processes',
+  description: 'cost of a hop and of idle processes',
   run,
 };
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -1,8 +1,8 @@
 /**
- * Admission under overload, in real time on fake targets: ours beside one
- * queue in order of arrival without a bound, at half to four times what the
- * targets can do, one client account flooding. Refused callers come back
- * once, when they were told to.
+ * Admission under overload, in real time on fake targets: fair bounded queues
+ * compared with unbounded queues in order of arrival, at multiples of the
+ * targets' capacity, with one client account flooding. Refused callers retry
+ * once, after the time given in the refusal.
  */
 import * as random from '../src/random';
 import {Admission} from '../src/requests/admission';
@@ -18,7 +18,7 @@
 const DRAIN_MS = 500;
 const TICK_MS = 2;
 const QUIET_ACCOUNT_COUNT = 9;
-/** Part of what the targets can do that each quiet account asks for. */
+/** Share of the targets' capacity that each quiet account requests. */
 const QUIET_SHARE = 0.04;
 const LOAD_MULTIPLES = [0.5, 0.8, 1, 1.5, 2, 4];
 const CAPACITY_PER_SECOND =
@@ -32,7 +32,6 @@
   servedRetries: number;
 }
 
-/** One fake target behind an admission. */
 class FakeTarget {
   readonly admission: Admission;
 
@@ -58,51 +57,51 @@
     );
   }
 
-  async offer(account: string, returnTo?: FakeTarget): Promise<void> {
-    const isReturn = returnTo !== undefined;
+  async offer(account: string, retryTarget?: FakeTarget): Promise<void> {
+    const isRetry = retryTarget !== undefined;
     const tally = this.tallyOf(account);
-    const begunAt = performance.now();
+    const startedAt = performance.now();
     const deadlineAt = Date.now() + DEADLINE_MS;
-    if (!isReturn) {
+    if (!isRetry) {
       tally.offered += 1;
     }
     const target =
-      returnTo ??
+      retryTarget ??
       this.targets.reduce((best, one) =>
         one.admission.expectedWaitMs < best.admission.expectedWaitMs
           ? one
           : best,
       );
-    const entered = await target.admission.admit({
+    const admitted = await target.admission.admit({
       account: this.isFairAndBounded ? account : 'all',
       weight: 1,
       priority: 0,
       cost: 1,
-      // Without bounds, a request waits however late it is.
-      isReservedRetry: isReturn,
+      isReservedRetry: isRetry,
+      // In the unbounded queue a request waits past its deadline.
       deadlineAt: this.isFairAndBounded ? deadlineAt : Date.now() + 3_600_000,
     });
-    if (!entered.ok) {
-      this.refusalMs.push(performance.now() - begunAt);
+    if (!admitted.ok) {
+      this.refusalMs.push(performance.now() - startedAt);
       tally.refused += 1;
-      const {retryAfterMs} = entered.error;
-      if (!isReturn && retryAfterMs !== undefined) {
+      const {retryAfterMs} = admitted.error;
+      if (!isRetry && retryAfterMs !== undefined) {
         setTimeout(() => this.retry(account, target), retryAfterMs);
       }
       return;
     }
     const workMs = random.exponential(MEAN_SERVICE_MS);
     await new Promise(resolve => setTimeout(resolve, workMs));
-    entered.value.release();
-    const tookMs = performance.now() - begunAt;
-    if (tookMs <= DEADLINE_MS) {
+    admitted.value.release();
+    const durationMs = performance.now() - startedAt;
+    if (durationMs <= DEADLINE_MS) {
       tally.good += 1;
-      tally.servedRetries += isReturn ? 1 : 0;
-      this.goodMs.push(tookMs);
+      tally.servedRetries += isRetry ? 1 : 0;
+      this.goodMs.push(durationMs);
     }
   }
 
-  /** Times beyond the end of the run are not waited for. */
+  /** Drops retries that are due after the end of the run. */
   private retry(account: string, target: FakeTarget): void {
     if (this.isOpen) {
       this.tallyOf(account).retries += 1;
@@ -111,41 +110,41 @@
   }
 
   private tallyOf(account: string): Tally {
-    const held = this.tallies.get(account) ?? {
+    const tally = this.tallies.get(account) ?? {
       offered: 0,
       good: 0,
       refused: 0,
       retries: 0,
       servedRetries: 0,
     };
-    this.tallies.set(account, held);
-    return held;
+    this.tallies.set(account, tally);
+    return tally;
   }
 }
 
-async function runAtMultiple(isOurs: boolean, multiple: number) {
-  const run = new OverloadRun(isOurs);
+async function runAtMultiple(isFairAndBounded: boolean, multiple: number) {
+  const run = new OverloadRun(isFairAndBounded);
   const quietRate = CAPACITY_PER_SECOND * QUIET_SHARE * Math.min(multiple, 1);
   const floodRate =
     CAPACITY_PER_SECOND * multiple - quietRate * QUIET_ACCOUNT_COUNT;
   const rates = [
-    ...Array.from({length: QUIET_ACCOUNT_COUNT}, (_, at) => ({
-      account: `quiet-${at}`,
+    ...Array.from({length: QUIET_ACCOUNT_COUNT}, (_, index) => ({
+      account: `quiet-${index}`,
       rate: quietRate,
     })),
     {account: 'flood', rate: floodRate},
   ];
-  const begunAt = performance.now();
+  const startedAt = performance.now();
   const nextAt = new Map(rates.map(one => [one.account, 0]));
-  while (performance.now() - begunAt < RUN_MS) {
-    const elapsed = performance.now() - begunAt;
+  while (performance.now() - startedAt < RUN_MS) {
+    const elapsedMs = performance.now() - startedAt;
     for (const {account, rate} of rates) {
-      let due = nextAt.get(account)!;
-      while (due <= elapsed) {
+      let dueAt = nextAt.get(account)!;
+      while (dueAt <= elapsedMs) {
         void run.offer(account);
-        due += random.exponential(1_000 / rate);
+        dueAt += random.exponential(1_000 / rate);
       }
-      nextAt.set(account, due);
+      nextAt.set(account, dueAt);
     }
     await new Promise(resolve => setTimeout(resolve, TICK_MS));
   }
@@ -159,12 +158,14 @@
   const quiet = all.filter(([account]) => account !== 'flood');
   const sum = (pick: (tally: Tally) => number) =>
     all.reduce((total, [, tally]) => total + pick(tally), 0);
-  const quietKept = quiet.map(([, t]) => t.good / Math.max(t.offered, 1));
+  const quietServedShares = quiet.map(
+    ([, t]) => t.good / Math.max(t.offered, 1),
+  );
   return {
     offered: sum(t => t.offered),
     goodput: sum(t => t.good),
-    jainOfQuiet: stats.jainIndex(quietKept),
-    worstQuietKept: Math.min(...quietKept),
+    jainOfQuiet: stats.jainIndex(quietServedShares),
+    worstQuietKept: Math.min(...quietServedShares),
     refusalP99Ms: stats.quantile(run.refusalMs, 0.99),
     servedOnReturn: sum(t => t.servedRetries) / (sum(t => t.retries) || 1),
     cameBack: sum(t => t.retries),
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -1,6 +1,7 @@
 /**
- * Expert placement on drifting demand: ours beside never moving and
- * rebuilding each period, for both fleets' weights, on the same demand.
+ * Expert placement on drifting demand: gain over cost, with the weights of two
+ * fleets, compared with never moving and with rebuilding each period. All
+ * policies get the same demand.
  */
 import * as load from '../src/placement/load';
 import * as policies from '../src/placement/policies';
@@ -18,31 +19,32 @@
 const LAYERS = 8;
 const EXPERTS = 128;
 const PERIODS = 96;
-/** Periods before any policy has seen enough to act on. */
+/** Periods at the start whose steps are not measured. */
 const WARM_UP_PERIODS = 8;
 const SAMPLED_STEPS_PER_PERIOD = 20;
 const STEP_TOKENS = 2_048;
 const BASE_STEP_MS = 4.5;
-/** Time of the whole batch's expert work, were it spread evenly. */
+/** Expert work of a step on each rank if it is spread evenly. */
 const EXPERT_WORK_MS = 3;
 const STEPS_PER_PERIOD = 4_000;
 const SLOW_RANK = 1;
 const SLOW_FACTOR = 1.3;
-/** An expert's weights, and the rate at which the store gives them. */
+/** Size of one expert's weights. */
 const EXPERT_MEGABYTES = 44;
+/** Rate at which ranks load weights from the store. */
 const STORE_MEGABYTES_PER_STEP = 2;
 
-/** Demand by period. */
+/** Pattern of the topics' demand: a daily cycle or short bursts. */
 type DemandShape = 'disputes' | 'carriers';
 
 const FLEET_WEIGHTS = {
-  /** Weighs skew more. */
+  /** Gives skew more weight relative to moves. */
   memberTopUp: {skew: 1, move: 25},
-  /** Weighs moves more. */
+  /** Gives moves more weight relative to skew. */
   lommebok: {skew: 1, move: 150},
 } as const;
 
-/** Experts' popularity: a skewed base, and topics that come and go. */
+/** Demand by expert: a skewed base, and topics whose demand varies. */
 class DriftingDemand {
   private readonly base: Float64Array[] = [];
   private readonly topics: number[][][] = [];
@@ -64,7 +66,7 @@
     return this.base.map((base, layer) => {
       const demand = Float64Array.from(base);
       this.topics[layer]!.forEach((experts, topic) => {
-        const topicDemand = this.heat(topic, period);
+        const topicDemand = this.topicDemandAt(topic, period);
         experts.forEach(expert => {
           demand[expert] = demand[expert]! + topicDemand;
         });
@@ -73,14 +75,14 @@
     });
   }
 
-  private heat(topic: number, period: number): number {
-    const DAY = 48;
+  private topicDemandAt(topic: number, period: number): number {
+    const PERIODS_PER_DAY = 48;
     if (this.shape === 'disputes') {
-      const phase = (period / DAY + topic / 4) * 2 * Math.PI;
+      const phase = (period / PERIODS_PER_DAY + topic / 4) * 2 * Math.PI;
       return 3 * Math.max(0, Math.sin(phase));
     }
-    const BURST = 6;
-    const isOn = Math.floor(period / BURST + topic * 1.7) % 5 === 0;
+    const BURST_PERIODS = 6;
+    const isOn = Math.floor(period / BURST_PERIODS + topic * 1.7) % 5 === 0;
     return isOn ? 5 : 0;
   }
 }
@@ -94,23 +96,23 @@
   /** Steps during which experts were being loaded. */
   readonly loadingSteps: number;
   readonly changes: number;
-  /** Longest time the loop was held at a stretch, in 99 of 100. */
+  /** 99th percentile of how long planning blocked the event loop at once. */
   readonly p99HeldMs: number;
 }
 
-/** Plans, and notes how long the loop was held without a break. */
+/** Plans, and records each uninterrupted block of the event loop. */
 async function planTimed(
   policy: PlacementPolicy,
   situation: Situation,
-  heldMs: number[],
+  blockedMs: number[],
   weights: Weights,
 ): Promise<Plan | null> {
   if (policy instanceof policies.GainOverCost) {
-    return policy.planInSlices(situation, weights, ms => heldMs.push(ms));
+    return policy.planInSlices(situation, weights, ms => blockedMs.push(ms));
   }
-  const begunAt = performance.now();
+  const startedAt = performance.now();
   const plan = policy.plan(situation, weights);
-  heldMs.push(performance.now() - begunAt);
+  blockedMs.push(performance.now() - startedAt);
   return plan;
 }
 
@@ -122,30 +124,30 @@
   seed: number,
 ): Promise<Outcome> {
   random.seed(seed);
-  const drifting = new DriftingDemand(shape);
+  const driftingDemand = new DriftingDemand(shape);
   const slowness = new Array<number>(ranks).fill(1);
   slowness[SLOW_RANK] = SLOW_FACTOR;
   const slotsPerLayer = Math.ceil(EXPERTS / ranks) + 1;
   let layers = load.firstLayers(LAYERS, EXPERTS, ranks);
   const skews: number[] = [];
   const steps: number[] = [];
-  const planMs: number[] = [];
+  const blockedMs: number[] = [];
   let moves = 0;
   let changes = 0;
-  let seen: Demand | undefined;
+  let observed: Demand | undefined;
   for (let period = 0; period < PERIODS; period += 1) {
-    const demand = drifting.at(period);
-    if (seen !== undefined) {
+    const demand = driftingDemand.at(period);
+    if (observed !== undefined) {
       const situation: Situation = {
         map: {version: period, layers},
-        demand: seen,
+        demand: observed,
         slowness,
         slotsPerLayer,
       };
-      const plan = await planTimed(policy, situation, planMs, {
+      const plan = await planTimed(policy, situation, blockedMs, {
         ...weights,
         horizonSteps: STEPS_PER_PERIOD,
-        msPerDemand: msPerDemand(seen, ranks),
+        msPerDemand: msPerDemand(observed, ranks),
       });
       if (plan !== null && plan.moves.length > 0) {
         layers = plan.layers;
@@ -159,14 +161,14 @@
       isCounted && step < SAMPLED_STEPS_PER_PERIOD;
       step += 1
     ) {
-      const drawn = sampleStep(demand);
-      const loads = load.rankLoads(layers, drawn, slowness);
-      const scale = msPerDemand(drawn, ranks);
+      const sampled = sampleStep(demand);
+      const loads = load.rankLoads(layers, sampled, slowness);
+      const scale = msPerDemand(sampled, ranks);
       skews.push(load.spread(loads) * scale);
       steps.push(BASE_STEP_MS + Math.max(...loads) * scale);
     }
-    // The planner sees what has been, with the noise of its sample.
-    seen = sampleStep(demand, 64);
+    // Policies plan on a noisy sample of the period before.
+    observed = sampleStep(demand, 64);
   }
   const megabytes = moves * EXPERT_MEGABYTES;
   return {
@@ -177,7 +179,7 @@
     megabytes,
     loadingSteps: Math.ceil(megabytes / STORE_MEGABYTES_PER_STEP),
     changes,
-    p99HeldMs: stats.quantile(planMs, 0.99),
+    p99HeldMs: stats.quantile(blockedMs, 0.99),
   };
 }
 
@@ -189,7 +191,7 @@
   return (EXPERT_WORK_MS * ranks) / total;
 }
 
-/** The tokens of some steps, drawn by demand with their noise. */
+/** Draws the tokens of some steps by expert, with sampling noise. */
 function sampleStep(demand: Demand, stepCount = 1): Demand {
   return demand.map(layer => {
     const total = layer.reduce((a, b) => a + b, 0);
--- a/bench/planning.ts
+++ b/bench/planning.ts
@@ -1,13 +1,6 @@
 /**
- * Expert maps of the users' sites, planned on demand that drifts: how even the
- * ranks are after each change, with how many copies, and how long it takes to
- * plan. Groups of 12 to 129 ranks, with the places and skew that go with them.
- *
- * Before sets were packed and a copy's relief was held against the size of its
- * group, a row of changes left 12, 24, 63 and 129 ranks at an imbalance of
- * 1.26, 1.35, 1.50 and 1.71 with 20, 108, 72 and 125 copies a drift; since then
- * at 1.29, 1.32, 1.19 and 1.19 with 19, 118, 219 and 829. A plan for 129 ranks
- * takes 15 ms of a core, 20 before.
+ * Planning of expert maps on drifting demand, for groups of 12 to 129 ranks:
+ * imbalance before and after the changes, copies made, and time to plan.
  */
 import * as packing from '../src/experts/packing';
 import * as plans from '../src/experts/plan';
@@ -16,16 +9,16 @@
 import * as stats from './stats';
 import type {Benchmark} from './main';
 
-/** A group as a site has it. */
+/** Size, limits and demand of a group. */
 interface GroupProfile {
   readonly ranks: number;
   readonly experts: number;
   readonly sets: number;
   readonly places: number;
   readonly spare: number;
-  /** Copies that a rank makes in the time of one change. */
+  /** Maximum number of copies that a rank makes in one change. */
   readonly copiesPerRank: number;
-  /** Exponent of the demand for experts by their place. */
+  /** Exponent of the power law of demand over experts. */
   readonly skew: number;
 }
 
@@ -36,10 +29,10 @@
   makeGroup(129, 258, 16, 3, 2, 15, 0.45),
 ];
 const DRIFTS = 8;
-/** Part of the experts that change their place in a drift. */
+/** Probability that a drift changes an expert's demand. */
 const DRIFT_SHARE = 0.6;
 const MAX_CHANGES = 6;
-/** Least gain of a change, and relief of a copy, as the planner has them. */
+/** Minimum gain of a change and relief of a copy, as in the planner. */
 const MIN_GAIN = 0.12;
 const MIN_RELIEF = 0.36;
 
@@ -58,7 +51,7 @@
 function drawSkewedDemand({experts, skew}: GroupProfile): Float64Array {
   const order = random.sample([...Array(experts).keys()], experts);
   const demand = new Float64Array(experts);
-  order.forEach((expert, at) => (demand[expert] = (at + 1) ** -skew));
+  order.forEach((expert, index) => (demand[expert] = (index + 1) ** -skew));
   return demand;
 }
 
@@ -66,7 +59,7 @@
   const moved = [...demand.keys()].filter(() => random.unit() < DRIFT_SHARE);
   const shuffled = random.sample(moved, moved.length);
   const next = Float64Array.from(demand);
-  moved.forEach((expert, at) => (next[expert] = demand[shuffled[at]!]!));
+  moved.forEach((expert, index) => (next[expert] = demand[shuffled[index]!]!));
   return next;
 }
 
@@ -80,21 +73,21 @@
 }
 
 function followDrift(
-  one: GroupProfile,
+  group: GroupProfile,
   from: plans.MapPlan['map'],
   demand: Demand,
 ): DriftResult {
-  const even = new Array<number>(one.ranks).fill(1);
-  const limits = {...one, minRelief: MIN_RELIEF / one.ranks};
+  const even = new Array<number>(group.ranks).fill(1);
+  const limits = {...group, minRelief: MIN_RELIEF / group.ranks};
   const before = plans.imbalance(from, demand, even);
   const after: number[] = [];
   const planMs: number[] = [];
   let copies = 0;
   let map = from;
   while (after.length < MAX_CHANGES) {
-    const begunAt = performance.now();
+    const startedAt = performance.now();
     const plan = plans.planMap(map, demand, even, limits);
-    planMs.push(performance.now() - begunAt);
+    planMs.push(performance.now() - startedAt);
     if (
       plan === undefined ||
       plan.imbalanceBefore - plan.imbalanceAfter < MIN_GAIN
@@ -110,31 +103,30 @@
   return {before, afterFirst, afterAll, copies, planMs, map};
 }
 
-function runGroup(one: GroupProfile): object {
-  let map: plans.MapPlan['map'] = packing.initialMap(one);
-  let demand = Array.from({length: one.sets}, () => drawSkewedDemand(one));
-  const ends: DriftResult[] = [];
+function runGroup(group: GroupProfile): object {
+  let map: plans.MapPlan['map'] = packing.initialMap(group);
+  let demand = Array.from({length: group.sets}, () => drawSkewedDemand(group));
+  const results: DriftResult[] = [];
   for (let drift = 0; drift < DRIFTS; drift += 1) {
-    const end = followDrift(one, map, demand);
-    ends.push(end);
-    ({map} = end);
+    const result = followDrift(group, map, demand);
+    results.push(result);
+    ({map} = result);
     demand = demand.map(driftDemand);
   }
-  const meanOf = (value: (end: DriftResult) => number) =>
-    Number(stats.mean(ends.slice(1).map(value)).toFixed(2));
+  const meanOf = (value: (result: DriftResult) => number) =>
+    Number(stats.mean(results.slice(1).map(value)).toFixed(2));
   return {
-    ranks: one.ranks,
-    before: meanOf(end => end.before),
-    afterFirstChange: meanOf(end => end.afterFirst),
-    afterAllChanges: meanOf(end => end.afterAll),
-    copiesADrift: meanOf(end => end.copies),
-    medianPlanMs: meanOf(end => stats.quantile(end.planMs, 0.5)),
+    ranks: group.ranks,
+    before: meanOf(result => result.before),
+    afterFirstChange: meanOf(result => result.afterFirst),
+    afterAllChanges: meanOf(result => result.afterAll),
+    copiesADrift: meanOf(result => result.copies),
+    medianPlanMs: meanOf(result => stats.quantile(result.planMs, 0.5)),
   };
 }
 
-/** Plans for each group over a row of drifts. */
 export const benchmark: Benchmark = {
   name: 'planning',
-  description: 'expert maps of 12 to 129 ranks on demand that drifts',
+  description: 'planning of expert maps on drifting demand',
   run: async () => GROUPS.map(runGroup),
 };
--- a/bench/processor.ts
+++ b/bench/processor.ts
@@ -1,16 +1,14 @@
 /**
- * What the processes of a site spend of a core, by role: at start, at rest,
- * with passes but no callers, as demand drifts, and with streams. Real
- * processes on loopback, beside stand-ins in this one. Figures are processor
- * time as the kernel counts it, in milliseconds.
+ * Processor time of a site's processes by role, in milliseconds: at start, idle,
+ * with forward passes but no callers, with drifting demand, with streams, and
+ * with frequent configuration versions. Runs real processes on loopback next to
+ * stand-ins in this process; reads /proc, so needs Linux.
  *
- * Variables: PROCESSOR_RANKS is the group's size, 12, 24 or 72; PROCESSOR_BUNDLE
- * the bundle to run, so that an earlier version can be compared;
- * PROCESSOR_NODE_ARGS arguments of the runtime; PROCESSOR_PROFILES a folder for
- * profiles of all processes.
- *
- * With 24 ranks, 8 s a phase and 3 entries, a sidecar took 393 ms at rest and 471
- * with passes where its group was read each 50 ms, and takes 164 and 293.
+ * Environment variables:
+ * - PROCESSOR_RANKS: size of the group: 12, 24 (default) or 72.
+ * - PROCESSOR_BUNDLE: bundle to run, to compare builds.
+ * - PROCESSOR_NODE_ARGS: arguments of Node.js, separated by spaces.
+ * - PROCESSOR_PROFILES: directory for processor profiles of all processes.
  */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
@@ -25,25 +23,24 @@
 };
 /** Three of them watch the store for the others. */
 const ENTRY_COUNT = 6;
-/** Time until processes have found each other. */
+/** Time for the processes to discover each other. */
 const START_UP_MS = 4_000;
 const PHASE_MS = 8_000;
-/** Milliseconds between drifts of demand. */
 const DRIFT_INTERVAL_MS = 3_500;
-/** Milliseconds between versions, and their routes. */
 const VERSION_INTERVAL_MS = 270;
+/** Routes added to each configuration version. */
 const ROUTE_COUNT = 1_560;
-/** Streams a second. */
 const STREAMS_PER_SECOND = 40;
-/** Ticks a second of the kernel's clock for processes. Source: proc(5). */
+/** Clock ticks (USER_HZ) in which proc(5) counts processor time. */
 const TICKS_PER_SECOND = 100;
 
 interface Phase {
   readonly name: string;
+  /** The group runs forward passes even without streams. */
   readonly isBusy: boolean;
   readonly hasDrifts: boolean;
   readonly streamsPerSecond: number;
-  /** Milliseconds between versions of a large configuration; 0: none. */
+  /** Interval between versions of a large configuration; 0: none. */
   readonly versionIntervalMs: number;
 }
 
@@ -68,7 +65,7 @@
   {...IDLE_PHASE, name: 'versions', versionIntervalMs: VERSION_INTERVAL_MS},
 ];
 
-/** Processor time of a process so far. */
+/** Total processor time of a process. */
 function cpuTimeMs({child}: SiteProcess): number {
   const stat = fs.readFileSync(`/proc/${child.pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
@@ -80,18 +77,20 @@
   return new Promise(resolve => setTimeout(resolve, ms));
 }
 
-/** By role: milliseconds a process, and the most of one. */
+/** Mean and maximum milliseconds per process, by role. */
 function summarizeByRole(
   processes: readonly SiteProcess[],
-  spent: readonly number[],
+  spentMs: readonly number[],
 ) {
   const result: Record<string, {mean: number; most: number}> = {};
   for (const role of ['entry', 'sidecar'] as const) {
-    const some = spent.filter((_, at) => processes[at]!.role === role);
-    const sum = some.reduce((a, b) => a + b, 0);
+    const ofRole = spentMs.filter(
+      (_, index) => processes[index]!.role === role,
+    );
+    const sum = ofRole.reduce((a, b) => a + b, 0);
     result[role] = {
-      mean: Math.round(sum / some.length),
-      most: Math.max(...some),
+      mean: Math.round(sum / ofRole.length),
+      most: Math.max(...ofRole),
     };
   }
   return result;
@@ -102,31 +101,33 @@
   group.isBusy = phase.isBusy;
   const before = processes.map(cpuTimeMs);
   const mapsBefore = group.mapsTaken;
-  const drifts = phase.hasDrifts
+  const driftTimer = phase.hasDrifts
     ? setInterval(() => group.shift(), DRIFT_INTERVAL_MS)
     : undefined;
   const calls: Promise<boolean>[] = [];
-  const caller =
+  const callTimer =
     phase.streamsPerSecond > 0
       ? setInterval(
           () => calls.push(site.call(calls.length)),
           1e3 / phase.streamsPerSecond,
         )
       : undefined;
-  const versions =
+  const versionTimer =
     phase.versionIntervalMs > 0
       ? setInterval(() => site.configure(ROUTE_COUNT), phase.versionIntervalMs)
       : undefined;
   await sleep(PHASE_MS);
-  clearInterval(versions);
-  clearInterval(drifts);
-  clearInterval(caller);
+  clearInterval(versionTimer);
+  clearInterval(driftTimer);
+  clearInterval(callTimer);
   const served = (await Promise.all(calls)).filter(isServed => isServed).length;
-  const spent = processes.map((one, at) => cpuTimeMs(one) - before[at]!);
+  const spentMs = processes.map(
+    (one, index) => cpuTimeMs(one) - before[index]!,
+  );
   return {
     phase: phase.name,
     ms: PHASE_MS,
-    ...summarizeByRole(processes, spent),
+    ...summarizeByRole(processes, spentMs),
     mapsTaken: group.mapsTaken - mapsBefore,
     calls: calls.length,
     served,
@@ -163,9 +164,8 @@
   }
 }
 
-/** Plays the phases one after the other. */
 export const benchmark: Benchmark = {
   name: 'processor',
-  description: 'processor time of a site by role, at rest and at work',
+  description: 'processor time of a site by role, idle and under load',
   run,
 };
--- a/bench/recovery.ts
+++ b/bench/recovery.ts
@@ -1,7 +1,6 @@
 /**
  * Recovery of real processes: time from a kill until every request is served
- * again, and what the requests on the way were told; the same with the store
- * down.
+ * again, and the outcomes of the requests meanwhile; with the store up and down.
  */
 import {Fleet, eventually, pause} from '../features/support/fleet';
 import * as testHttp from '../features/support/http';
@@ -19,7 +18,7 @@
   readonly outcome: string;
 }
 
-/** Sends requests at a steady pace until all have been served for a while. */
+/** Sends requests at a fixed interval and records their outcomes. */
 class Prober {
   readonly probes: Probe[] = [];
   private timer: NodeJS.Timeout | undefined;
@@ -37,15 +36,18 @@
     clearInterval(this.timer);
   }
 
-  /** Milliseconds from a time until the last request that was not served. */
+  /**
+   * Waits until no request has failed for STEADY_MS, or for MAX_RECOVERY_MS.
+   * Returns the milliseconds from `since` to the start of the last failed one.
+   */
   async waitUntilSteady(since: number): Promise<number> {
     for (;;) {
       await pause(100);
-      const bad = this.probes.filter(p => p.outcome !== 'served');
-      const last = Math.max(since, ...bad.map(probe => probe.at));
+      const failed = this.probes.filter(p => p.outcome !== 'served');
+      const lastFailedAt = Math.max(since, ...failed.map(probe => probe.at));
       const now = Date.now();
-      if (now - last > STEADY_MS || now - since > MAX_RECOVERY_MS) {
-        return last - since;
+      if (now - lastFailedAt > STEADY_MS || now - since > MAX_RECOVERY_MS) {
+        return lastFailedAt - since;
       }
     }
   }
@@ -60,9 +62,9 @@
   }
 }
 
-/** A top-up with a new key of the system's. */
+/** Sends a top-up with a new request key from the entry. */
 async function topUp(fleet: Fleet, entry: string): Promise<string> {
-  const minted = await testHttp.call(
+  const keyResponse = await testHttp.call(
     fleet.address(entry),
     'POST',
     '/v1/request-keys',
@@ -70,7 +72,7 @@
     '{"service":"ledger"}',
     5_000,
   );
-  const {keys} = JSON.parse(minted.text || '{}') as {keys?: string[]};
+  const {keys} = JSON.parse(keyResponse.text || '{}') as {keys?: string[]};
   if (keys?.[0] === undefined) {
     return 'no key';
   }
@@ -151,13 +153,13 @@
   }
 }
 
-/** The pause of a group whose leader dies between arm and commit. */
+/** Measures how long a group is blocked if its leader dies after arming. */
 async function measureLeaderKill(storeDown: boolean) {
   const fleet = await Fleet.start({
     ...{ranks: 3, ledgers: 0, entries: 1, relayRanks: true},
   });
   const rpc = new RpcClient();
-  const read = () =>
+  const readSteps = () =>
     testHttp.callJson<{steps: number; blockedMs: number}>(
       fleet.engine[0]!,
       'GET',
@@ -181,11 +183,11 @@
     void rpc.call(fleet.address('rank-0'), groupsApp.propose, {layers}, 5_000);
     await killed;
     fleet.process('rank-0').start();
-    const {steps} = await read();
-    await eventually('it runs on', async () => {
-      return (await read()).steps > steps + 60;
+    const {steps} = await readSteps();
+    await eventually('the group resumes its steps', async () => {
+      return (await readSteps()).steps > steps + 60;
     });
-    const {blockedMs} = await read();
+    const {blockedMs} = await readSteps();
     return {case: 'group leader killed after arming', storeDown, blockedMs};
   } finally {
     rpc.close();
--- a/bench/routing.ts
+++ b/bench/routing.ts
@@ -1,7 +1,7 @@
 /**
- * Routing on fakes of the engines: ours beside random, round robin, least
- * outstanding and two random choices, on the same arrivals, with load
- * reports that come late, a rank that turns slow and one that stalls.
+ * Routing on simulated engines: the scored policy compared with random, round
+ * robin, least outstanding and two random choices, on the same arrivals. Load
+ * reports are delayed, one rank becomes slow and one stalls.
  */
 import * as random from '../src/random';
 import * as policies from '../src/routing/policy';
@@ -21,9 +21,9 @@
 const STALL_MS = 800;
 const REPORT_LAG_MS = 30;
 const REPORT_PERIOD_MS = 1_000;
-/** Chance that a cache event is lost. */
-const EVENT_LOSS_SHARE = 0.2;
-/** Requests a second that twelve targets finish with no prefix cached. */
+/** Probability that a cache event is lost. */
+const EVENT_LOSS_PROBABILITY = 0.2;
+/** Requests per second that all targets finish with no prefix cached. */
 const CAPACITY_PER_SECOND = 340;
 const LOADS = [0.5, 0.8, 0.95];
 const CROSS_HALL_ROUND_TRIP_MS = 3;
@@ -38,7 +38,7 @@
   inFlight: number;
 }
 
-/** What one entry believes of the targets. */
+/** One entry's view of the targets. */
 class EntryView {
   readonly prefixes = new PrefixIndex();
   private readonly views = new Map<string, TargetView>();
@@ -62,12 +62,12 @@
     return view;
   }
 
-  report(rank: fakes.FakeRank, made: LoadReport): void {
-    Object.assign(this.view(rank.id), made);
+  report(rank: fakes.FakeRank, loadReport: LoadReport): void {
+    Object.assign(this.view(rank.id), loadReport);
   }
 }
 
-/** A target's load as of a time. */
+/** A target's load at the time of the report. */
 type LoadReport = Omit<TargetView, 'sent' | 'inFlight'>;
 
 function snapshot(
@@ -92,7 +92,7 @@
   now: number,
 ): Candidate {
   const view = entry.view(rank.id);
-  const unseen = view.sent.since(
+  const unreported = view.sent.since(
     view.reportedAt - CROSS_HALL_ROUND_TRIP_MS / 2,
   );
   return {
@@ -109,14 +109,14 @@
       rankMs: view.rankMs,
     },
     loadAgeMs: now - view.reportedAt,
-    unreported: unseen.requests,
-    unreportedTokens: unseen.tokens,
+    unreported: unreported.requests,
+    unreportedTokens: unreported.tokens,
     inFlight: view.inFlight,
     cachedTokens: entry.prefixes.cachedTokensAt(prefix, rank.id),
   };
 }
 
-/** Actions due at a virtual time. */
+/** Actions in the order of their virtual time. */
 class EventQueue {
   private readonly events: {at: number; act: () => void}[] = [];
 
@@ -152,11 +152,11 @@
     (_, at) => new EntryView(groups[at]!.ranks[0]!.hall),
   );
   const done: fakes.FakeRequest[] = [];
-  const agenda = new EventQueue();
+  const queue = new EventQueue();
   const spacingMs = 1_000 / (CAPACITY_PER_SECOND * load);
   let sent = 0;
   let nextArrival = 0;
-  let hits = 0;
+  let cachedTokens = 0;
   const slow = ranks[1]!.rank;
   const stalled = ranks[6]!.rank;
   const senders = new Map<fakes.FakeRequest, {entry: EntryView; id: string}>();
@@ -185,64 +185,68 @@
     view.sent.note(now, request.prefixTokens + request.suffixTokens - known);
     view.inFlight += 1;
     senders.set(request, {entry, id: rank.id});
-    if (random.unit() > EVENT_LOSS_SHARE) {
+    if (random.unit() > EVENT_LOSS_PROBABILITY) {
       entry.prefixes.noteSent(request.prefix, rank.id, request.prefixTokens);
     }
     const hopMs = rank.hall === entry.hall ? 0 : CROSS_HALL_ROUND_TRIP_MS / 2;
-    agenda.schedule(now + hopMs, () => rank.submit(request));
-    agenda.schedule(now + hopMs, () => {
-      const made = snapshot(rank, group, now + hopMs);
-      agenda.schedule(now + hopMs + REPORT_LAG_MS, () =>
-        entry.report(rank, made),
+    queue.schedule(now + hopMs, () => rank.submit(request));
+    queue.schedule(now + hopMs, () => {
+      const loadReport = snapshot(rank, group, now + hopMs);
+      queue.schedule(now + hopMs + REPORT_LAG_MS, () =>
+        entry.report(rank, loadReport),
       );
     });
     sent += 1;
   };
-  const beat = (now: number) => {
+  const reportAll = (now: number) => {
     for (const entry of entries) {
       ranks.forEach(({rank, group}) =>
         entry.report(rank, snapshot(rank, group, now)),
       );
     }
-    agenda.schedule(now + REPORT_PERIOD_MS, () => beat(now + REPORT_PERIOD_MS));
+    queue.schedule(now + REPORT_PERIOD_MS, () =>
+      reportAll(now + REPORT_PERIOD_MS),
+    );
   };
-  beat(0);
+  reportAll(0);
   for (let now = 0; now < RUN_SECONDS * 1_000;) {
     const group = groups.reduce((a, b) => (a.nextAt <= b.nextAt ? a : b));
     now = group.nextAt;
     while (nextArrival <= now) {
-      agenda.runUntil(nextArrival);
+      queue.runUntil(nextArrival);
       arrive(nextArrival);
       nextArrival += random.exponential(spacingMs);
     }
-    agenda.runUntil(now);
+    queue.runUntil(now);
     slow.slowness = now >= SLOW_FROM_MS ? SLOW_FACTOR : 1;
     if (now >= STALL_FROM_MS && now < STALL_FROM_MS + STALL_MS) {
       stalled.stalledUntil = STALL_FROM_MS + STALL_MS;
     }
     group.runStep(now, onEnd);
   }
-  const firsts = done.map(request => request.firstTokenAt - request.arrivedAt);
-  hits = done.reduce((sum, r) => sum + r.cachedTokens, 0);
-  const asked = done.reduce((sum, r) => sum + r.prefixTokens, 0);
-  const skews = groups.flatMap(group => group.skewsMs);
-  const busy = ranks.reduce((sum, {rank}) => sum + rank.busyMs, 0);
+  const firstTokenMs = done.map(
+    request => request.firstTokenAt - request.arrivedAt,
+  );
+  cachedTokens = done.reduce((sum, r) => sum + r.cachedTokens, 0);
+  const prefixTokens = done.reduce((sum, r) => sum + r.prefixTokens, 0);
+  const skewsMs = groups.flatMap(group => group.skewsMs);
+  const busyMs = ranks.reduce((sum, {rank}) => sum + rank.busyMs, 0);
   return {
     finished: done.length / sent,
-    firstTokenP50Ms: stats.quantile(firsts, 0.5),
-    firstTokenP95Ms: stats.quantile(firsts, 0.95),
-    firstTokenP99Ms: stats.quantile(firsts, 0.99),
-    prefixHits: hits / asked,
-    skewP50Ms: stats.quantile(skews, 0.5),
-    skewP99Ms: stats.quantile(skews, 0.99),
-    skewMeanMs: stats.mean(skews),
+    firstTokenP50Ms: stats.quantile(firstTokenMs, 0.5),
+    firstTokenP95Ms: stats.quantile(firstTokenMs, 0.95),
+    firstTokenP99Ms: stats.quantile(firstTokenMs, 0.99),
+    prefixHits: cachedTokens / prefixTokens,
+    skewP50Ms: stats.quantile(skewsMs, 0.5),
+    skewP99Ms: stats.quantile(skewsMs, 0.99),
+    skewMeanMs: stats.mean(skewsMs),
     stepMeanMs: stats.mean(groups.flatMap(group => group.stepTimesMs)),
-    slowRankShare: (slow.busyMs / busy) * ranks.length,
+    slowRankShare: (slow.busyMs / busyMs) * ranks.length,
   };
 }
 
 async function run(): Promise<unknown> {
-  const makers: Record<string, () => Policy> = {
+  const policyFactories: Record<string, () => Policy> = {
     random: () => new policies.RandomPolicy(),
     roundRobin: () => new policies.RoundRobinPolicy(),
     leastOutstanding: () => new policies.LeastOutstandingPolicy(),
@@ -252,7 +256,7 @@
   return LOADS.map(load => {
     const seed = 1_000 + Math.round(load * 100);
     const outcomes = Object.fromEntries(
-      Object.entries(makers).map(([name, make]) => [
+      Object.entries(policyFactories).map(([name, make]) => [
         name,
         runPolicy(make(), load, seed),
       ]),
@@ -269,6 +273,6 @@
 
 export const benchmark: Benchmark = {
   name: 'routing',
-  description: 'routing on fakes of the engines',
+  description: 'routing on simulated engines',
   run,
 };
