--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -31,7 +31,7 @@
 const MEASURED_MESSAGES = 1_500;
 const HALL_COUNT = 6;
 const PROCESS_COUNTS = [10, 40, 100];
-/** Exceeds a first watch; afterwards only watchers call the store. */
+/** Exceeds a process's first watch, after which only watchers call the store. */
 const SETTLE_MS = 26_000;
 const MEASURE_MS = 20_000;
 const KILOBYTE = 1_024;
--- a/bench/fake-engines.ts
+++ b/bench/fake-engines.ts
@@ -155,8 +155,8 @@
 export function drawRequest(now: number, timeoutMs: number): FakeRequest {
   let remaining = random.unit();
   const account =
-    ACCOUNTS.find(one => {
-      remaining -= one.share;
+    ACCOUNTS.find(candidate => {
+      remaining -= candidate.share;
       return remaining < 0;
     }) ?? ACCOUNTS[0]!;
   return drawAccountRequest(account.id, now, timeoutMs);
--- a/bench/hop.ts
+++ b/bench/hop.ts
@@ -21,7 +21,7 @@
 
 const agent = new http.Agent({keepAlive: true, maxSockets: 512});
 
-/** Sends one small request and returns its duration in milliseconds. */
+/** Times a small request in milliseconds; rejects on a status but 200. */
 function timeLookup(
   address: string,
   urlPath: string,
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -19,11 +19,11 @@
 const CHANGES_PER_ENTRY = 20;
 
 function makeInstances(count: number): Instance[] {
-  return Array.from({length: count}, (_, at) => ({
-    id: `target-${at}`,
-    hall: `hall-${at % 6}`,
+  return Array.from({length: count}, (_, index) => ({
+    id: `target-${index}`,
+    hall: `hall-${index % 6}`,
     role: 'sidecar' as const,
-    address: `10.0.${at >> 8}.${at & 255}:7000`,
+    address: `10.0.${index >> 8}.${index & 255}:7000`,
     state: 'live' as const,
     serves: 'model/assistant',
     group: '',
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -67,9 +67,9 @@
     }
     const target =
       retryTarget ??
-      this.targets.reduce((best, one) =>
-        one.admission.expectedWaitMs < best.admission.expectedWaitMs
-          ? one
+      this.targets.reduce((best, other) =>
+        other.admission.expectedWaitMs < best.admission.expectedWaitMs
+          ? other
           : best,
       );
     const admitted = await target.admission.admit({
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -31,7 +31,7 @@
 const SLOW_FACTOR = 1.3;
 /** Size of one expert's weights. */
 const EXPERT_MEGABYTES = 44;
-/** Rate at which ranks load weights from the store. */
+/** Rate at which weights are loaded from the store. */
 const STORE_MEGABYTES_PER_STEP = 2;
 
 /** Pattern of the topics' demand: a daily cycle or short bursts. */
@@ -62,7 +62,7 @@
     }
   }
 
-  at(period: number): Demand {
+  demandAt(period: number): Demand {
     return this.base.map((base, layer) => {
       const demand = Float64Array.from(base);
       this.topics[layer]!.forEach((experts, topic) => {
@@ -136,7 +136,7 @@
   let changes = 0;
   let observed: Demand | undefined;
   for (let period = 0; period < PERIODS; period += 1) {
-    const demand = driftingDemand.at(period);
+    const demand = driftingDemand.demandAt(period);
     if (observed !== undefined) {
       const situation: Situation = {
         map: {version: period, layers},
@@ -161,14 +161,14 @@
       isCounted && step < SAMPLED_STEPS_PER_PERIOD;
       step += 1
     ) {
-      const sampled = sampleStep(demand);
+      const sampled = sampleSteps(demand);
       const loads = load.rankLoads(layers, sampled, slowness);
       const scale = msPerDemand(sampled, ranks);
       skews.push(load.spread(loads) * scale);
       steps.push(BASE_STEP_MS + Math.max(...loads) * scale);
     }
     // Policies plan on a noisy sample of the period before.
-    observed = sampleStep(demand, 64);
+    observed = sampleSteps(demand, 64);
   }
   const megabytes = moves * EXPERT_MEGABYTES;
   return {
@@ -192,7 +192,7 @@
 }
 
 /** Draws the tokens of some steps by expert, with sampling noise. */
-function sampleStep(demand: Demand, stepCount = 1): Demand {
+function sampleSteps(demand: Demand, stepCount = 1): Demand {
   return demand.map(layer => {
     const total = layer.reduce((a, b) => a + b, 0);
     return Float64Array.from(layer, rate => {
@@ -207,23 +207,23 @@
   for (const shape of ['disputes', 'carriers'] as const) {
     for (const ranks of [4, 12, 64]) {
       const seed = ranks * 31 + shape.length;
-      const one = (
+      const runSeeded = (
         policy: PlacementPolicy,
         weights: {skew: number; move: number},
       ) => runPolicy(policy, weights, shape, ranks, seed);
-      const never = await one(
+      const never = await runSeeded(
         new policies.NeverMove(),
         FLEET_WEIGHTS.memberTopUp,
       );
-      const rebuild = await one(
+      const rebuild = await runSeeded(
         new policies.Rebuild(),
         FLEET_WEIGHTS.memberTopUp,
       );
-      const member = await one(
+      const member = await runSeeded(
         new policies.GainOverCost(),
         FLEET_WEIGHTS.memberTopUp,
       );
-      const lommebok = await one(
+      const lommebok = await runSeeded(
         new policies.GainOverCost(),
         FLEET_WEIGHTS.lommebok,
       );
--- a/bench/processor.ts
+++ b/bench/processor.ts
@@ -6,7 +6,7 @@
  *
  * Environment variables:
  * - PROCESSOR_RANKS: size of the group: 12, 24 (default) or 72.
- * - PROCESSOR_BUNDLE: bundle to run, to compare builds.
+ * - PROCESSOR_BUNDLE: bundle to run, target/ferrycleat.js by default.
  * - PROCESSOR_NODE_ARGS: arguments of Node.js, separated by spaces.
  * - PROCESSOR_PROFILES: directory for processor profiles of all processes.
  */
--- a/bench/recovery.ts
+++ b/bench/recovery.ts
@@ -14,7 +14,7 @@
 const MAX_RECOVERY_MS = 20_000;
 
 interface Probe {
-  readonly at: number;
+  readonly sentAt: number;
   readonly outcome: string;
 }
 
@@ -27,8 +27,8 @@
 
   start(): void {
     this.timer = setInterval(() => {
-      const at = Date.now();
-      void this.send().then(outcome => this.probes.push({at, outcome}));
+      const sentAt = Date.now();
+      void this.send().then(outcome => this.probes.push({sentAt, outcome}));
     }, PROBE_INTERVAL_MS);
   }
 
@@ -44,7 +44,10 @@
     for (;;) {
       await pause(100);
       const failed = this.probes.filter(p => p.outcome !== 'served');
-      const lastFailedAt = Math.max(since, ...failed.map(probe => probe.at));
+      const lastFailedAt = Math.max(
+        since,
+        ...failed.map(probe => probe.sentAt),
+      );
       const now = Date.now();
       if (now - lastFailedAt > STEADY_MS || now - since > MAX_RECOVERY_MS) {
         return lastFailedAt - since;
@@ -53,7 +56,7 @@
   }
 
   outcomeShares(since: number): Record<string, number> {
-    const after = this.probes.filter(probe => probe.at >= since);
+    const after = this.probes.filter(probe => probe.sentAt >= since);
     const counts: Record<string, number> = {};
     for (const {outcome} of after) {
       counts[outcome] = (counts[outcome] ?? 0) + 1 / after.length;
@@ -133,9 +136,9 @@
   },
 ];
 
-async function measure(one: Case, storeDown: boolean) {
-  const fleet = await Fleet.start({ranks: one.ranks});
-  const prober = new Prober(() => one.send(fleet));
+async function measure(testCase: Case, storeDown: boolean) {
+  const fleet = await Fleet.start({ranks: testCase.ranks});
+  const prober = new Prober(() => testCase.send(fleet));
   try {
     prober.start();
     await pause(WARM_UP_MS);
@@ -143,17 +146,17 @@
       await fleet.setFaults(fleet.platform, {outage: true});
     }
     const since = Date.now();
-    await one.injectFault(fleet);
+    await testCase.injectFault(fleet);
     const recoveredMs = await prober.waitUntilSteady(since);
     const outcomes = prober.outcomeShares(since);
-    return {case: one.name, storeDown, recoveredMs, outcomes};
+    return {case: testCase.name, storeDown, recoveredMs, outcomes};
   } finally {
     prober.stop();
     await fleet.close();
   }
 }
 
-/** Measures how long a group is blocked if its leader dies after arming. */
+/** Measures how long a group is blocked if its leader is killed after arming. */
 async function measureLeaderKill(storeDown: boolean) {
   const fleet = await Fleet.start({
     ...{ranks: 3, ledgers: 0, entries: 1, relayRanks: true},
@@ -198,8 +201,8 @@
 async function run(): Promise<unknown> {
   const rows: unknown[] = [];
   for (const storeDown of [false, true]) {
-    for (const one of CASES) {
-      rows.push(await measure(one, storeDown));
+    for (const testCase of CASES) {
+      rows.push(await measure(testCase, storeDown));
     }
     rows.push(await measureLeaderKill(storeDown));
   }
--- a/bench/routing.ts
+++ b/bench/routing.ts
@@ -149,7 +149,7 @@
   );
   const entries = Array.from(
     {length: ENTRIES},
-    (_, at) => new EntryView(groups[at]!.ranks[0]!.hall),
+    (_, index) => new EntryView(groups[index]!.ranks[0]!.hall),
   );
   const done: fakes.FakeRequest[] = [];
   const queue = new EventQueue();
--- a/standins/engine-group.ts
+++ b/standins/engine-group.ts
@@ -25,7 +25,7 @@
   rankMs: number;
 }
 
-/** A step in which a rank's map version changed, with all ranks' versions. */
+/** Map versions by rank, from a step on until the next record. */
 export interface StepRecord {
   readonly step: number;
   readonly versions: readonly (number | null)[];
@@ -234,8 +234,11 @@
     if (new Set(versions).size > 1) {
       this.mixedSteps += 1;
     }
-    const last = this.records[this.records.length - 1];
-    if (last === undefined || String(last.versions) !== String(versions)) {
+    const lastRecord = this.records[this.records.length - 1];
+    if (
+      lastRecord === undefined ||
+      String(lastRecord.versions) !== String(versions)
+    ) {
       this.records.push({step: this.step, versions});
     }
   }
--- a/standins/engine.ts
+++ b/standins/engine.ts
@@ -210,7 +210,7 @@
   constructor(
     private readonly options: EngineOptions = DEFAULT_ENGINE_OPTIONS,
   ) {
-    for (let rank = 0; rank < options.ranks; rank += 1) {
+    for (let rankIndex = 0; rankIndex < options.ranks; rankIndex += 1) {
       const {stepMs, layers, experts} = options;
       this.ranks.push(new Rank(stepMs, layers, experts));
     }
@@ -218,17 +218,17 @@
   }
 
   /**
-   * Starts a server per rank and returns their addresses. Rank k listens on the
+   * Starts a server per rankIndex and returns their addresses. Rank k listens on the
    * address's port plus k; all use free ports where the port is 0.
    */
   async open(address: string): Promise<string[]> {
     const {host, port} = splitAddress(address);
-    for (const [rank, state] of this.ranks.entries()) {
-      const rankAddress = joinAddress(host, port === 0 ? 0 : port + rank);
+    for (const [rankIndex, rank] of this.ranks.entries()) {
+      const rankAddress = joinAddress(host, port === 0 ? 0 : port + rankIndex);
       this.listeners.push(
         await httpServer.listen(
           rankAddress,
-          (req, res) => this.handleRequest(rank, state, req, res),
+          (req, res) => this.handleRequest(rankIndex, rank, req, res),
           () => undefined,
         ),
       );
@@ -243,48 +243,53 @@
   }
 
   private async handleRequest(
-    rank: number,
-    state: Rank,
+    rankIndex: number,
+    rank: Rank,
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://standin');
     const path = url.pathname;
     if (path === '/v1/chat/completions') {
-      await this.startChat(state, req, res);
+      await this.startChat(rank, req, res);
     } else if (path.startsWith('/v1/streams/')) {
       const name = path.slice('/v1/streams/'.length);
-      this.handleStream(state, req, res, name, url.searchParams);
+      this.handleStream(rank, req, res, name, url.searchParams);
     } else if (path === '/v1/rank') {
-      body.sendJson(res, 200, this.describe(rank, state));
+      body.sendJson(res, 200, this.describe(rankIndex, rank));
     } else if (path.startsWith('/v1/map/')) {
-      await this.handleOrder(rank, path.slice('/v1/map/'.length), req, res);
+      await this.handleOrder(
+        rankIndex,
+        path.slice('/v1/map/'.length),
+        req,
+        res,
+      );
     } else if (path.startsWith('/standin/')) {
-      await this.handleControl(state, path, req, res);
+      await this.handleControl(rank, path, req, res);
     } else {
       req.resume();
       body.sendJson(res, 404, {});
     }
   }
 
-  private describe(rank: number, state: Rank) {
+  private describe(rankIndex: number, rank: Rank) {
     return {
-      ...this.group.describe(rank),
-      counts: state.counts,
-      running: state.running.length,
+      ...this.group.describe(rankIndex),
+      counts: rank.counts,
+      running: rank.running.length,
       maxRunning: this.options.maxRunning,
-      prefillTokens: state.prefillTokens,
+      prefillTokens: rank.prefillTokens,
     };
   }
 
   private async startChat(
-    state: Rank,
+    rank: Rank,
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
-    const {retryAfter} = state.faults;
+    const {retryAfter} = rank.faults;
     if (retryAfter !== null) {
-      state.rejections.reject(req, res, retryAfter);
+      rank.rejections.reject(req, res, retryAfter);
       return;
     }
     const read = await body.readJson(req, MAX_BODY_BYTES);
@@ -296,43 +301,43 @@
       });
       return;
     }
-    if (state.running.length >= this.options.maxRunning) {
+    if (rank.running.length >= this.options.maxRunning) {
       body.sendJson(res, 503, {error: {message: 'engine is full'}});
       return;
     }
-    const stream = state.openStream(name, chat.output);
-    if (state.faults.lateMs > 0) {
-      await new Promise(wake => setTimeout(wake, state.faults.lateMs));
+    const stream = rank.openStream(name, chat.output);
+    if (rank.faults.lateMs > 0) {
+      await new Promise(wake => setTimeout(wake, rank.faults.lateMs));
     }
     if (chat.output.stream) {
-      this.sendEvents(state, stream, res, 0);
+      this.sendEvents(rank, stream, res, 0);
     } else {
-      res.once('close', () => state.cancelStream(name));
-      this.sendCompletion(state, stream, res);
+      res.once('close', () => rank.cancelStream(name));
+      this.sendCompletion(rank, stream, res);
     }
   }
 
   private handleStream(
-    state: Rank,
+    rank: Rank,
     req: http.IncomingMessage,
     res: http.ServerResponse,
     name: string,
     query: URLSearchParams,
   ): void {
     if (req.method === 'DELETE') {
-      body.sendJson(res, 200, {cancelled: state.cancelStream(name)});
+      body.sendJson(res, 200, {cancelled: rank.cancelStream(name)});
       return;
     }
-    const stream = state.streams.get(name);
+    const stream = rank.streams.get(name);
     if (stream === undefined || stream.isCancelled) {
       body.sendJson(res, 404, {});
       return;
     }
-    this.sendEvents(state, stream, res, Number(query.get('after') ?? 0));
+    this.sendEvents(rank, stream, res, Number(query.get('after') ?? 0));
   }
 
   private sendCompletion(
-    state: Rank,
+    rank: Rank,
     stream: Stream,
     res: http.ServerResponse,
   ): void {
@@ -358,7 +363,7 @@
             },
           ],
         },
-        {'ferrycleat-stream': this.streamNameFor(state, stream)},
+        {'ferrycleat-stream': this.streamNameFor(rank, stream)},
       );
     };
     stream.listener = sendIfEnded;
@@ -366,12 +371,12 @@
   }
 
   private sendEvents(
-    state: Rank,
+    rank: Rank,
     stream: Stream,
     res: http.ServerResponse,
     after: number,
   ): void {
-    const name = this.streamNameFor(state, stream);
+    const name = this.streamNameFor(rank, stream);
     res.writeHead(200, {
       'content-type': 'text/event-stream',
       'ferrycleat-stream': name,
@@ -379,12 +384,12 @@
     res.flushHeaders();
     let sent = after;
     const send = () => {
-      const heldBack = this.heldBackCount(state, stream);
+      const heldBack = this.heldBackCount(rank, stream);
       while (sent < stream.events.length - heldBack && !res.destroyed) {
-        sent += this.sendNext(state, stream, res, name, sent);
-        const cutAfter = state.faults.cutAfter;
+        sent += this.sendNext(rank, stream, res, name, sent);
+        const cutAfter = rank.faults.cutAfter;
         if (cutAfter !== null && sent >= cutAfter) {
-          state.faults.cutAfter = null;
+          rank.faults.cutAfter = null;
           res.destroy();
           return;
         }
@@ -397,14 +402,14 @@
     send();
   }
 
-  /** Holds the last event back, so that it can be swapped with the next one. */
-  private heldBackCount(state: Rank, stream: Stream): number {
-    return state.faults.reordered && stream.endedAt === undefined ? 1 : 0;
+  /** Number of events to hold back, to be swapped with the next one. */
+  private heldBackCount(rank: Rank, stream: Stream): number {
+    return rank.faults.reordered && stream.endedAt === undefined ? 1 : 0;
   }
 
   /** Sends the next event or swapped pair; returns how many it has sent. */
   private sendNext(
-    state: Rank,
+    rank: Rank,
     stream: Stream,
     res: http.ServerResponse,
     name: string,
@@ -412,22 +417,20 @@
   ): number {
     const format = (index: number) =>
       `id: ${name}.${index + 1}\ndata: ${stream.events[index]}\n\n`;
-    if (state.faults.reordered && sent + 1 < stream.events.length) {
+    if (rank.faults.reordered && sent + 1 < stream.events.length) {
       res.write(format(sent + 1) + format(sent));
       return 2;
     }
-    res.write(
-      state.faults.doubled ? format(sent) + format(sent) : format(sent),
-    );
+    res.write(rank.faults.doubled ? format(sent) + format(sent) : format(sent));
     return 1;
   }
 
-  private streamNameFor(state: Rank, stream: Stream): string {
-    return state.faults.foreign ? 'another-request' : stream.name;
+  private streamNameFor(rank: Rank, stream: Stream): string {
+    return rank.faults.foreign ? 'another-request' : stream.name;
   }
 
   private async handleOrder(
-    rank: number,
+    rankIndex: number,
     order: string,
     req: http.IncomingMessage,
     res: http.ServerResponse,
@@ -439,7 +442,7 @@
       const done =
         form.success &&
         this.group.setInitialMap(
-          rank,
+          rankIndex,
           form.output.generation,
           form.output.version,
         );
@@ -452,49 +455,49 @@
       return;
     }
     const {fence, change} = parsed.output;
-    if (!this.group.checkFence(rank, fence)) {
+    if (!this.group.checkFence(rankIndex, fence)) {
       body.sendJson(res, 409, {done: false, error: 'old fence'});
       return;
     }
-    const done = await this.runOrder(rank, order, change);
+    const done = await this.runOrder(rankIndex, order, change);
     body.sendJson(res, done ? 200 : 409, {done});
   }
 
   private async runOrder(
-    rank: number,
+    rankIndex: number,
     order: string,
     change: v.InferOutput<typeof mapChangeSchema>,
   ): Promise<boolean> {
     switch (order) {
       case 'stage':
-        await this.group.stage(rank, change.map.version);
+        await this.group.stage(rankIndex, change.map.version);
         return true;
       case 'hold':
-        return this.group.hold(rank, change);
+        return this.group.hold(rankIndex, change);
       case 'switch':
-        return this.group.switchAt(rank, change);
+        return this.group.switchAt(rankIndex, change);
       case 'release':
-        return this.group.release(rank, change.id);
+        return this.group.release(rankIndex, change.id);
       default:
         return false;
     }
   }
 
   private async handleControl(
-    state: Rank,
+    rank: Rank,
     path: string,
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
     if (path === '/standin/steps') {
       const {steps, mixedSteps, blockedMs, records} = this.group;
-      const {cancelled} = state;
+      const {cancelled} = rank;
       const seen = {steps, mixedSteps, blockedMs, records, cancelled};
       body.sendJson(res, 200, seen);
       return;
     }
     if (path === '/standin/turned-away') {
-      state.rejections.sendArrivals(res);
+      rank.rejections.sendArrivals(res);
       return;
     }
     if (path === '/standin/restart') {
@@ -506,7 +509,7 @@
     const value = read.ok ? read.value : undefined;
     const parsed = v.safeParse(faults.engineFaultsSchema, value);
     if (parsed.success) {
-      Object.assign(state.faults, parsed.output);
+      Object.assign(rank.faults, parsed.output);
     }
     body.sendJson(res, parsed.success ? 200 : 400, {});
   }
--- a/standins/faults.ts
+++ b/standins/faults.ts
@@ -11,7 +11,7 @@
     outageAfterWrites: v.nullable(v.number()),
     /** Changes do not wake pending watches. */
     hideWatches: v.boolean(),
-    /** Number of writes to come that take effect but get no response. */
+    /** Number of upcoming writes that take effect but get no response. */
     loseAnswers: v.number(),
     /** Delay of each response. */
     delayMs: v.number(),
@@ -49,7 +49,7 @@
   v.strictObject({
     /** Duration of a run. */
     runMs: v.number(),
-    /** Number of runs to come that take effect but get no response. */
+    /** Number of upcoming runs that take effect but get no response. */
     loseAnswers: v.number(),
     /** Calls get 500 and do not run. */
     failing: v.boolean(),
