--- a/standins/engine.ts
+++ b/standins/engine.ts
@@ -218,7 +218,7 @@
   }
 
   /**
-   * Starts a server per rankIndex and returns their addresses. Rank k listens on the
+   * Starts a server per rank and returns their addresses. Rank k listens on the
    * address's port plus k; all use free ports where the port is 0.
    */
   async open(address: string): Promise<string[]> {
