--- a/bench/processor.ts
+++ b/bench/processor.ts
@@ -15,7 +15,7 @@
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 import {SiteStandin, SiteProcess} from '../platform/site-standin';
-import type {GroupShape} from '../platform/rank-standin';
+import type {GroupShape} from '../platform/group-standin';
 import type {Bench} from './main';
 
 const SHAPES: Readonly<Record<string, GroupShape>> = {
@@ -92,18 +92,21 @@
   const {processes, group} = site;
   group.isBusy = phase.isBusy;
   const before = processes.map(spentMs);
-  const mapsBefore = group.mapsTaken;
+  const mapsBefore = group.mapsApplied;
   const drifts = phase.hasDrifts
-    ? setInterval(() => group.shift(), DRIFT_MS)
+    ? setInterval(() => group.shiftDemand(), DRIFT_MS)
     : undefined;
   const calls: Promise<boolean>[] = [];
   const caller =
     phase.rate > 0
-      ? setInterval(() => calls.push(site.call(calls.length)), 1e3 / phase.rate)
+      ? setInterval(
+          () => calls.push(site.requestStream(calls.length)),
+          1e3 / phase.rate,
+        )
       : undefined;
   const versions =
     phase.versionsMs > 0
-      ? setInterval(() => site.configure(ROUTES), phase.versionsMs)
+      ? setInterval(() => site.publishConfiguration(ROUTES), phase.versionsMs)
       : undefined;
   await sleep(PHASE_MS);
   clearInterval(versions);
@@ -115,7 +118,7 @@
     phase: phase.name,
     ms: PHASE_MS,
     ...byRole(processes, spent),
-    mapsTaken: group.mapsTaken - mapsBefore,
+    mapsTaken: group.mapsApplied - mapsBefore,
     calls: calls.length,
     served,
   };
@@ -132,7 +135,7 @@
     nodeArgs: (process.env.PROCESSOR_NODE_ARGS ?? '')
       .split(' ')
       .filter(Boolean),
-    profiles: process.env.PROCESSOR_PROFILES,
+    profileDir: process.env.PROCESSOR_PROFILES,
   });
   await site.open();
   try {
--- a/src/main.ts
+++ b/src/main.ts
@@ -22,7 +22,7 @@
   operators.addStatus(program);
   operators.addExplain(program);
   local.addLocal(program);
-  site.addSite(program);
+  site.addSiteCommands(program);
   return program;
 }
 
