--- a/bench/recovery.ts
+++ b/bench/recovery.ts
@@ -83,7 +83,7 @@
 async function chat(fleet: Fleet, entry: string): Promise<string> {
   const stream = fleet.chat(entry, 'alpha', 'how long?', 3);
   await stream.whenEnded();
-  return stream.isWhole ? 'served' : `status ${stream.status}`;
+  return stream.isComplete ? 'served' : `status ${stream.status}`;
 }
 
 interface Case {
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -12,10 +12,10 @@
   program.parse(process.argv);
   const {seed, minutes} = program.opts<{seed: number; minutes: number}>();
   random.seed(seed);
-  const fleet = await chaos.openChaosFleet();
+  const fleet = await chaos.startChaosFleet();
   try {
     const runMs = Math.min(minutes, 60) * MINUTE_MS;
-    const report = await new chaos.Chaos(fleet).run(runMs);
+    const report = await new chaos.ChaosRun(fleet).run(runMs);
     process.stdout.write(JSON.stringify(report, null, 2) + '\n');
     process.exitCode = report.violations.length > 0 ? 1 : 0;
   } finally {
--- a/features/at-most-once.steps.ts
+++ b/features/at-most-once.steps.ts
@@ -14,7 +14,7 @@
 
 let fleet: fleets.Fleet;
 let key: string;
-let answers: testHttp.Answer[];
+let responses: testHttp.HttpResponse[];
 let owner: string;
 let outage: Promise<void>;
 
@@ -24,7 +24,7 @@
 async function findOwner(text: string): Promise<string> {
   const rpc = new RpcClient();
   const slot = keys.slotOf(keys.parseKey(text)!, SLOTS);
-  for (const id of fleet.idsOf('ledger')) {
+  for (const id of fleet.idsWithPrefix('ledger')) {
     const table = await rpc.call(fleet.address(id), app.table, {
       service: 'ledger',
     });
@@ -44,17 +44,17 @@
 async function sendCopies(count: number): Promise<void> {
   for (let copy = 0; copy < count; copy += 1) {
     const entry = copy % 2 === 0 ? 'entry-0' : 'entry-1';
-    answers.push(await fleet.topUp(entry, 'alpha', key));
+    responses.push(await fleet.topUp(entry, 'alpha', key));
   }
 }
 
 /** A key whose owner is not this sidecar. */
-async function serveNewKey(): Promise<boolean> {
+async function tryNewKey(): Promise<boolean> {
   const minted = await testHttp.call(
     fleet.address('entry-0'),
     'POST',
     '/v1/request-keys',
-    site.auth('alpha'),
+    site.authHeaders('alpha'),
     JSON.stringify({service: 'ledger'}),
   );
   const document = JSON.parse(minted.text || '{}') as {keys?: string[]};
@@ -69,14 +69,14 @@
 
 const steps: StepDefinitions = ({given, when, then}) => {
   given('a running ledger with two entries', async () => {
-    answers = [];
+    responses = [];
     fleet = await fleets.Fleet.start({ranks: 0});
   });
 
   given(
     /^a running ledger whose cells last (\d+) seconds$/,
     async (s: string) => {
-      answers = [];
+      responses = [];
       const termMs = Number(s) * 1_000;
       fleet = await fleets.Fleet.start({ranks: 0, service: {termMs}});
     },
@@ -88,7 +88,7 @@
 
   when(/^(\d+) copies of a top-up/, async (count: string) => {
     key = await fleet.mintKey('entry-0', 'alpha');
-    answers = await Promise.all(
+    responses = await Promise.all(
       Array.from({length: Number(count)}, (_, copy) =>
         fleet.topUp(`entry-${copy % 2}`, 'alpha', key),
       ),
@@ -100,11 +100,11 @@
     owner = await findOwner(key);
     const first = fleet.topUp('entry-0', 'alpha', key);
     await fleets.eventually('it runs', async () => {
-      return ((await fleet.runs())[key] ?? 0) > 0;
+      return ((await fleet.runCounts())[key] ?? 0) > 0;
     });
     await fleet.process(owner).kill();
     await fleet.restart(owner);
-    answers = [await first];
+    responses = [await first];
   });
 
   when(/^a top-up's owner is killed for good$/, async () => {
@@ -112,8 +112,8 @@
     owner = await findOwner(key);
     await fleet.topUp('entry-0', 'alpha', key);
     await fleet.process(owner).kill();
-    await fleet.list(owner, 'leaving');
-    answers = [];
+    await fleet.setInstanceState(owner, 'leaving');
+    responses = [];
   });
 
   when(/^a top-up's owner is frozen before/, async () => {
@@ -126,9 +126,9 @@
     const pending = fleet.topUp('entry-0', 'alpha', key, 10, {
       'ferrycleat-timeout-ms': '1500',
     });
-    await fleet.list(owner, 'leaving');
+    await fleet.setInstanceState(owner, 'leaving');
     await fleets.pause(4_000);
-    answers = [await pending];
+    responses = [await pending];
   });
 
   when(/^the frozen owner wakes/, async () => {
@@ -142,7 +142,7 @@
 
   when(/^all owners restart while the store loses (\d+)/, async (n: string) => {
     await fleet.setFaults(fleet.platform, {loseAnswers: Number(n)});
-    const ids = fleet.idsOf('ledger');
+    const ids = fleet.idsWithPrefix('ledger');
     await Promise.all(
       ids.map(async id => {
         await fleet.process(id).kill();
@@ -162,61 +162,61 @@
 
   when(/^a caller whose clock is (-?\d+) minutes off/, async (n: string) => {
     key = uuid.v7({msecs: Date.now() + Number(n) * MINUTE_MS});
-    answers = [await fleet.topUp('entry-0', 'alpha', key)];
+    responses = [await fleet.topUp('entry-0', 'alpha', key)];
   });
 
   when(/^a top-up has run and its owner stops as planned$/, async () => {
     key = await fleet.mintKey('entry-0', 'alpha');
     owner = await findOwner(key);
-    answers = [await fleet.topUp('entry-0', 'alpha', key)];
+    responses = [await fleet.topUp('entry-0', 'alpha', key)];
     expect(await fleet.process(owner).stop()).toBe(0);
   });
 
   then('the ledger ran it once', async () => {
-    expect((await fleet.runs())[key]).toBe(1);
+    expect((await fleet.runCounts())[key]).toBe(1);
   });
 
   then('the ledger ran it at most once', async () => {
-    const runs = (await fleet.runs())[key] ?? 0;
+    const runs = (await fleet.runCounts())[key] ?? 0;
     expect(runs).toBeLessThanOrEqual(1);
-    const notRun = answers.filter(
+    const notRun = responses.filter(
       answer => answer.headers['ferrycleat-outcome'] === 'not-run',
     );
     expect(runs === 1 && notRun.length > 0).toBe(false);
   });
 
   then('the ledger never ran it', async () => {
-    expect((await fleet.runs())[key]).toBeUndefined();
+    expect((await fleet.runCounts())[key]).toBeUndefined();
   });
 
   then('every copy got the same answer', () => {
-    expect(new Set(answers.map(answer => answer.text)).size).toBe(1);
-    expect(answers.map(answer => answer.status)).toEqual(
-      answers.map(() => 201),
+    expect(new Set(responses.map(answer => answer.text)).size).toBe(1);
+    expect(responses.map(answer => answer.status)).toEqual(
+      responses.map(() => 201),
     );
   });
 
   then('no copy was told that it did not run', () => {
-    const outcomes = answers.map(a => a.headers['ferrycleat-outcome']);
+    const outcomes = responses.map(a => a.headers['ferrycleat-outcome']);
     expect(outcomes).not.toContain('not-run');
     expect(outcomes).not.toContain(undefined);
   });
 
   then(/^every copy since was told "(.*)"$/, (outcome: string) => {
-    const outcomes = answers.map(a => a.headers['ferrycleat-outcome']);
-    expect(outcomes).toEqual(answers.map(() => outcome));
-    expect(answers.every(a => a.headers['retry-after'] !== undefined)).toBe(
+    const outcomes = responses.map(a => a.headers['ferrycleat-outcome']);
+    expect(outcomes).toEqual(responses.map(() => outcome));
+    expect(responses.every(a => a.headers['retry-after'] !== undefined)).toBe(
       true,
     );
   });
 
   then(/^a new key is served within (\d+) seconds$/, (seconds: string) =>
-    fleets.eventually('a key is served', serveNewKey, Number(seconds) * 1_000),
+    fleets.eventually('a key is served', tryNewKey, Number(seconds) * 1_000),
   );
 
   then('copies of it run once', async () => {
     await sendCopies(6);
-    expect((await fleet.runs())[key]).toBe(1);
+    expect((await fleet.runCounts())[key]).toBe(1);
   });
 
   then('lookups are answered meanwhile', async () => {
@@ -224,7 +224,7 @@
       fleet.address('entry-0'),
       'GET',
       '/ledger/balances/7',
-      site.auth('alpha'),
+      site.authHeaders('alpha'),
     );
     expect(answer.status).toBe(200);
   });
@@ -236,29 +236,25 @@
     expect(Date.now() - begunAt).toBeLessThan(Number(n) * 1_000);
     expect(answer.headers['ferrycleat-outcome']).toBe('unknown');
     expect(answer.headers['retry-after']).toBeDefined();
-    expect((await fleet.runs())[late]).toBeUndefined();
+    expect((await fleet.runCounts())[late]).toBeUndefined();
   });
 
   then(
     /^after the outage a new key is served within (\d+)/,
     async (n: string) => {
       await outage;
-      await fleets.eventually(
-        'a key is served',
-        serveNewKey,
-        Number(n) * 1_000,
-      );
+      await fleets.eventually('a key is served', tryNewKey, Number(n) * 1_000);
     },
   );
 
   then(/^the answer says "(.*)"$/, (outcome: string) => {
-    expect(answers[0]!.headers['ferrycleat-outcome']).toBe(outcome);
+    expect(responses[0]!.headers['ferrycleat-outcome']).toBe(outcome);
   });
 
   then('a copy of the top-up still gets the answer of the first', async () => {
     const copy = await fleet.topUp('entry-1', 'alpha', key);
     expect(copy.status).toBe(201);
-    expect(copy.text).toBe(answers[0]!.text);
+    expect(copy.text).toBe(responses[0]!.text);
     expect(copy.headers['ferrycleat-replayed']).toBe('true');
   });
 };
--- a/features/configuration.steps.ts
+++ b/features/configuration.steps.ts
@@ -13,24 +13,24 @@
 
 let fleet: fleets.Fleet;
 let rpc: RpcClient;
-let accepted: number;
-let ends: Awaited<ReturnType<typeof edit.applyDocument>>[];
-let watch: RevisionWatch;
+let acceptedVersion: number;
+let results: Awaited<ReturnType<typeof edit.applyDocument>>[];
+let monitor: RevisionMonitor;
 
 afterEach(async () => {
-  watch.close();
+  monitor.close();
   rpc.close();
   await fleet.close();
 });
 
 /** Reads every process's revision all the time; notes any that falls. */
-class RevisionWatch {
-  readonly falls: string[] = [];
+class RevisionMonitor {
+  readonly regressions: string[] = [];
   private readonly latest = new Map<string, number>();
   private timer: NodeJS.Timeout | undefined;
 
   start(): void {
-    this.timer = setInterval(() => void this.read(), 100);
+    this.timer = setInterval(() => void this.poll(), 100);
   }
 
   close(): void {
@@ -38,17 +38,17 @@
   }
 
   /** A process that starts again has seen nothing yet. */
-  forget(id: string): void {
+  reset(id: string): void {
     this.latest.delete(id);
   }
 
-  private async read(): Promise<void> {
-    for (const id of fleet.idsOf('')) {
+  private async poll(): Promise<void> {
+    for (const id of fleet.idsWithPrefix('')) {
       const revision = await revisionOf(id);
       const before = this.latest.get(id) ?? 0;
       if (revision !== undefined && revision > 0) {
         if (revision < before) {
-          this.falls.push(`${id}: ${before} to ${revision}`);
+          this.regressions.push(`${id}: ${before} to ${revision}`);
         }
         this.latest.set(id, Math.max(before, revision));
       }
@@ -68,7 +68,7 @@
   return items.find(item => item.key === accountKey('alpha'))?.version;
 }
 
-async function applyFrom(base: number, burst: number) {
+async function applyBurstChange(base: number, burst: number) {
   const store = new HttpObjectApi(fleet.platform);
   const document = site.makeAccount('alpha', {burst});
   const end = await edit.applyDocument(store, document, base, `op-${burst}`);
@@ -85,11 +85,11 @@
 
 async function restartWithPeers(id: string): Promise<void> {
   const peers = fleet
-    .idsOf('')
+    .idsWithPrefix('')
     .filter(other => other !== id)
     .map(other => fleet.address(other));
   await fleet.process(id).kill();
-  watch.forget(id);
+  monitor.reset(id);
   fleet.process(id).extraArgs = ['--peers', peers.join(',')];
   await fleet.restart(id);
 }
@@ -97,22 +97,24 @@
 const steps: StepDefinitions = ({given, when, then}) => {
   given('a running site with two entries', async () => {
     rpc = new RpcClient();
-    watch = new RevisionWatch();
+    monitor = new RevisionMonitor();
     fleet = await fleets.Fleet.start();
-    watch.start();
+    monitor.start();
   });
 
   when(/^(\d+) operators change the same account/, async (count: string) => {
     const base = await currentVersion();
-    ends = await Promise.all(
-      Array.from({length: Number(count)}, (_, at) => applyFrom(base, 50 + at)),
+    results = await Promise.all(
+      Array.from({length: Number(count)}, (_, at) =>
+        applyBurstChange(base, 50 + at),
+      ),
     );
   });
 
   when("an operator's change takes effect and its answer is lost", async () => {
     const base = await currentVersion();
     await fleet.setFaults(fleet.platform, {loseAnswers: 1});
-    ends = [await applyFrom(base, 77)];
+    results = [await applyBurstChange(base, 77)];
   });
 
   when(/^a change is accepted, one process is told/, async () => {
@@ -121,11 +123,11 @@
       hideWatches: true,
       outageAfterWrites: 1,
     });
-    const end = await applyFrom(base, 88);
+    const end = await applyBurstChange(base, 88);
     if (!end.ok) {
       throw new Error(JSON.stringify(end.error));
     }
-    accepted = end.value.object.version;
+    acceptedVersion = end.value.object.version;
     const item = {...end.value.object, value: end.value.object.value};
     const told = await rpc.call(fleet.address('rank-0'), app.push, {item});
     expect(told.ok).toBe(true);
@@ -143,31 +145,31 @@
 
   when(/^a change is in force and the store then answers/, async () => {
     const base = await currentVersion();
-    const end = await applyFrom(base, 99);
-    accepted = end.ok ? end.value.object.version : 0;
+    const end = await applyBurstChange(base, 99);
+    acceptedVersion = end.ok ? end.value.object.version : 0;
     await fleets.eventually('it is in force', async () => {
-      const all = await Promise.all(fleet.idsOf('').map(revisionOf));
-      return all.every(revision => revision === accepted);
+      const all = await Promise.all(fleet.idsWithPrefix('').map(revisionOf));
+      return all.every(revision => revision === acceptedVersion);
     });
     await fleet.setFaults(fleet.platform, {staleRevision: base});
   });
 
   when(/^"(.*)" is frozen while a change is accepted/, async (id: string) => {
     fleet.process(id).freeze();
-    const end = await applyFrom(await currentVersion(), 66);
-    accepted = end.ok ? end.value.object.version : 0;
+    const end = await applyBurstChange(await currentVersion(), 66);
+    acceptedVersion = end.ok ? end.value.object.version : 0;
     await fleets.pause(4_000);
     fleet.process(id).thaw();
   });
 
   when('an operator sets a parameter outside its bounds', async () => {
-    accepted = await currentVersion();
-    ends = [await applyFrom(accepted, 1_000_000)];
+    acceptedVersion = await currentVersion();
+    results = [await applyBurstChange(acceptedVersion, 1_000_000)];
   });
 
   then(/^exactly one change is accepted and (\d+) see/, (losers: string) => {
-    const won = ends.flatMap(end => (end.ok ? [end.value] : []));
-    const lost = ends.flatMap(end => (end.ok ? [] : [end.error]));
+    const won = results.flatMap(end => (end.ok ? [end.value] : []));
+    const lost = results.flatMap(end => (end.ok ? [] : [end.error]));
     expect(won).toHaveLength(1);
     expect(lost).toHaveLength(Number(losers));
     for (const error of lost) {
@@ -177,13 +179,13 @@
         ours: {kind: 'account', id: 'alpha'},
       });
     }
-    accepted = won[0]!.object.version;
+    acceptedVersion = won[0]!.object.version;
   });
 
   then('the operator is told that it is accepted', () => {
-    const [end] = ends;
+    const [end] = results;
     expect(end!.ok).toBe(true);
-    accepted = end!.ok ? end!.value.object.version : 0;
+    acceptedVersion = end!.ok ? end!.value.object.version : 0;
   });
 
   then(
@@ -192,21 +194,23 @@
       fleets.eventually(
         'every process has it in force',
         async () => {
-          const all = await Promise.all(fleet.idsOf('').map(revisionOf));
-          return all.every(revision => revision === accepted);
+          const all = await Promise.all(
+            fleet.idsWithPrefix('').map(revisionOf),
+          );
+          return all.every(revision => revision === acceptedVersion);
         },
         Number(seconds) * 1_000,
       ),
   );
 
   then('no process ever saw its revision fall', () => {
-    expect(watch.falls).toEqual([]);
+    expect(monitor.regressions).toEqual([]);
   });
 
   then(
     'the change is refused with the bounds and nothing changes',
     async () => {
-      const [end] = ends;
+      const [end] = results;
       expect(end!.ok ? null : end!.error).toMatchObject({
         kind: 'unsound',
         error: {
@@ -215,7 +219,7 @@
           max: 10_000,
         },
       });
-      expect(await currentVersion()).toBe(accepted);
+      expect(await currentVersion()).toBe(acceptedVersion);
     },
   );
 };
--- a/features/leaving.steps.ts
+++ b/features/leaving.steps.ts
@@ -10,11 +10,11 @@
 const LOAD_TOKENS = 4;
 
 let fleet: fleets.Fleet;
-let load: Load;
-let noticeAt: number;
+let load: LoadGenerator;
+let departedAt: number;
 let streams: testHttp.EventStream[];
-let exit: Promise<number | null>;
-let topUps: {key: string; answer: testHttp.Answer}[];
+let exitCode: Promise<number | null>;
+let topUps: {key: string; answer: testHttp.HttpResponse}[];
 
 afterEach(async () => {
   await load.stop();
@@ -22,33 +22,33 @@
 });
 
 interface Sample {
-  readonly at: number;
-  readonly target: string;
-  readonly isWhole: boolean;
+  readonly sentAt: number;
+  readonly targetId: string;
+  readonly isComplete: boolean;
   readonly status: number;
   /** Why it was refused or broke off; empty: it didn't. */
-  readonly why: string;
+  readonly failure: string;
 }
 
 /** Short streams, one after the other, on several lines. */
-class Load {
+class LoadGenerator {
   readonly samples: Sample[] = [];
-  private running = true;
-  private lines: Promise<void>[] = [];
+  private isRunning = true;
+  private clients: Promise<void>[] = [];
 
   start(entries: readonly string[], lines: number): void {
-    this.lines = Array.from({length: lines}, (_, line) =>
-      this.runLine(entries[line % entries.length]!, line),
+    this.clients = Array.from({length: lines}, (_, line) =>
+      this.runClient(entries[line % entries.length]!, line),
     );
   }
 
   async stop(): Promise<void> {
-    this.running = false;
-    await Promise.all(this.lines);
+    this.isRunning = false;
+    await Promise.all(this.clients);
   }
 
-  private async runLine(entry: string, line: number): Promise<void> {
-    for (let turn = 0; this.running; turn += 1) {
+  private async runClient(entry: string, line: number): Promise<void> {
+    for (let turn = 0; this.isRunning; turn += 1) {
       const at = Date.now();
       const stream = fleet.chat(
         entry,
@@ -58,8 +58,14 @@
       );
       await stream.whenEnded();
       const target = stream.ids[0]?.split('.')[0] ?? '';
-      const {isWhole, status, error, body} = stream;
-      this.samples.push({at, target, isWhole, status, why: error ?? body});
+      const {isComplete: isWhole, status, error, body} = stream;
+      this.samples.push({
+        sentAt: at,
+        targetId: target,
+        isComplete: isWhole,
+        status,
+        failure: error ?? body,
+      });
     }
   }
 }
@@ -67,11 +73,11 @@
 const steps: StepDefinitions = ({given, when, then}) => {
   given('a running fleet under load', async () => {
     fleet = await fleets.Fleet.start({ranks: 3});
-    load = new Load();
+    load = new LoadGenerator();
     load.start(['entry-1'], 4);
     await fleets.eventually(
       'every rank works',
-      () => new Set(load.samples.map(sample => sample.target)).size === 3,
+      () => new Set(load.samples.map(sample => sample.targetId)).size === 3,
     );
     streams = [];
     topUps = [];
@@ -89,16 +95,16 @@
         }
         stream.close();
       }
-      noticeAt = Date.now();
-      exit = fleet.process(id).stop();
+      departedAt = Date.now();
+      exitCode = fleet.process(id).stop();
     },
   );
 
   when(
     /^the platform's list says that "(.*)" is leaving$/,
     async (id: string) => {
-      noticeAt = Date.now();
-      await fleet.list(id, 'leaving');
+      departedAt = Date.now();
+      await fleet.setInstanceState(id, 'leaving');
       await fleets.pause(4_000);
     },
   );
@@ -108,14 +114,14 @@
     async (seconds: string, id: string) => {
       const listLagMs = Number(seconds) * 1_000;
       await fleet.setFaults(fleet.platform, {listLagMs});
-      noticeAt = Date.now();
-      await fleet.list(id, 'leaving');
+      departedAt = Date.now();
+      await fleet.setInstanceState(id, 'leaving');
       await fleets.pause(6_000);
     },
   );
 
   when(/^"(.*)" is killed without notice$/, async (id: string) => {
-    noticeAt = Date.now();
+    departedAt = Date.now();
     await fleet.process(id).kill();
     await fleets.pause(5_000);
   });
@@ -127,7 +133,7 @@
         fleet.chat(id, 'alpha', `stream ${at}`, Number(tokens)),
       );
       await Promise.all(streams.map(stream => stream.whenEvents(2)));
-      exit = fleet.process(id).stop();
+      exitCode = fleet.process(id).stop();
     },
   );
 
@@ -136,7 +142,7 @@
     async (id: string, tokens: string) => {
       streams = [fleet.chat(id, 'alpha', 'too long', Number(tokens))];
       await streams[0]!.whenEvents(2);
-      exit = fleet.process(id).stop();
+      exitCode = fleet.process(id).stop();
       await fleets.pause(300);
       expect(fleet.process(id).isRunning).toBe(true);
       fleet.process(id).signal('SIGTERM');
@@ -151,10 +157,10 @@
     const address = fleet.address('rank-0');
     const change = rpc.call(address, app.propose, {layers}, 10_000);
     await fleets.pause(30);
-    exit = fleet.process(id).stop();
+    exitCode = fleet.process(id).stop();
     await change;
     rpc.close();
-    await exit;
+    await exitCode;
     await fleet.restart(id);
   });
 
@@ -174,8 +180,8 @@
     };
     const lines = [line('entry-0'), line('entry-1'), line('entry-1')];
     await fleets.pause(500);
-    exit = fleet.process(id).stop();
-    await exit;
+    exitCode = fleet.process(id).stop();
+    await exitCode;
     await fleets.pause(1_000);
     running = false;
     await Promise.all(lines);
@@ -187,11 +193,11 @@
       await fleets.pause(500);
       const late = load.samples.filter(
         sample =>
-          sample.target === id &&
-          sample.at > noticeAt + Number(seconds) * 1_000,
+          sample.targetId === id &&
+          sample.sentAt > departedAt + Number(seconds) * 1_000,
       );
       expect(late).toEqual([]);
-      expect(load.samples.some(sample => sample.target === id)).toBe(true);
+      expect(load.samples.some(sample => sample.targetId === id)).toBe(true);
     },
   );
 
@@ -199,17 +205,17 @@
     const [stream] = streams;
     await stream!.whenEnded();
     const messages = [{role: 'user', content: 'a long one'}];
-    expect(stream!.isWhole).toBe(true);
+    expect(stream!.isComplete).toBe(true);
     expect(stream!.text).toBe(expectedText(messages, 300));
   });
 
   then('no request of the load failed', () => {
-    expect(load.samples.filter(sample => !sample.isWhole)).toEqual([]);
+    expect(load.samples.filter(sample => !sample.isComplete)).toEqual([]);
   });
 
   then(/^no request of the load failed for longer than (\d+)/, (n: string) => {
-    const failed = load.samples.filter(sample => !sample.isWhole);
-    const late = failed.filter(s => s.at > noticeAt + Number(n) * 1_000);
+    const failed = load.samples.filter(sample => !sample.isComplete);
+    const late = failed.filter(s => s.sentAt > departedAt + Number(n) * 1_000);
     expect(late).toEqual([]);
     expect(failed.length).toBeLessThan(load.samples.length / 4);
   });
@@ -217,7 +223,7 @@
   then(
     /^"(.*)" ended by itself with exit code (\d)$/,
     async (_id: string, code: string) => {
-      expect(await exit).toBe(Number(code));
+      expect(await exitCode).toBe(Number(code));
     },
   );
 
@@ -226,7 +232,7 @@
     streams.forEach((stream, at) => {
       const messages = [{role: 'user', content: `stream ${at}`}];
       expect(stream.text).toBe(expectedText(messages, 300));
-      expect(stream.isWhole).toBe(true);
+      expect(stream.isComplete).toBe(true);
     });
   });
 
@@ -245,7 +251,7 @@
   });
 
   then('every top-up got its answer and ran once', async () => {
-    const runs = await fleet.runs();
+    const runs = await fleet.runCounts();
     expect(topUps.length).toBeGreaterThan(20);
     const bad = topUps.filter(
       ({key, answer}) => answer.status !== 201 || runs[key] !== 1,
--- a/features/not-run.steps.ts
+++ b/features/not-run.steps.ts
@@ -5,16 +5,16 @@
 import * as site from './support/site';
 
 const feature = loadFeature(path.join(__dirname, 'not-run.feature'));
-const AT_ONCE_MS = 700;
+const MAX_REFUSAL_MS = 700;
 
-interface Sent {
+interface SentTopUp {
   readonly key: string;
-  readonly answer: testHttp.Answer;
+  readonly response: testHttp.HttpResponse;
   readonly tookMs: number;
 }
 
 let fleet: fleets.Fleet;
-let sent: Sent[];
+let sent: SentTopUp[];
 
 afterEach(async () => fleet.close());
 
@@ -22,10 +22,10 @@
   key: string,
   entry: string,
   extra: Record<string, string> = {},
-): Promise<Sent> {
+): Promise<SentTopUp> {
   const begunAt = Date.now();
   const answer = await fleet.topUp(entry, 'alpha', key, 10, extra);
-  return {key, answer, tookMs: Date.now() - begunAt};
+  return {key, response: answer, tookMs: Date.now() - begunAt};
 }
 
 async function mintKeys(count: number): Promise<string[]> {
@@ -36,16 +36,16 @@
   return keys;
 }
 
-function toldNotRun(): Sent[] {
+function notRunTopUps(): SentTopUp[] {
   return sent.filter(
-    one => one.answer.headers['ferrycleat-outcome'] === 'not-run',
+    one => one.response.headers['ferrycleat-outcome'] === 'not-run',
   );
 }
 
 async function resend(keys: readonly string[]): Promise<void> {
   const copies = await Promise.all(keys.map(key => send(key, 'entry-1')));
   for (const copy of copies) {
-    expect(copy.answer.status).not.toBe(201);
+    expect(copy.response.status).not.toBe(201);
   }
 }
 
@@ -118,7 +118,7 @@
     const copies = await Promise.all(
       sent.map(one => send(one.key, entry, {'ferrycleat-timeout-ms': '3000'})),
     );
-    const outcomes = copies.map(c => c.answer.headers['ferrycleat-outcome']);
+    const outcomes = copies.map(c => c.response.headers['ferrycleat-outcome']);
     expect(outcomes).not.toContain('not-run');
   });
 
@@ -127,28 +127,28 @@
       fleet.address('entry-0'),
       'POST',
       '/ledger/top-ups',
-      site.auth('alpha'),
+      site.authHeaders('alpha'),
       JSON.stringify({phone: '1', amount: 1}),
     );
-    sent = [{key: '', answer, tookMs: 0}];
+    sent = [{key: '', response: answer, tookMs: 0}];
   });
 
   then(/^some are told "not-run" at once/, () => {
-    const told = toldNotRun();
+    const told = notRunTopUps();
     expect(told.length).toBeGreaterThan(0);
     for (const one of told) {
-      expect(one.tookMs).toBeLessThan(AT_ONCE_MS);
-      expect(one.answer.headers['retry-after']).toBeDefined();
+      expect(one.tookMs).toBeLessThan(MAX_REFUSAL_MS);
+      expect(one.response.headers['retry-after']).toBeDefined();
     }
   });
 
   then('all are told "not-run"', () => {
-    expect(toldNotRun()).toHaveLength(sent.length);
+    expect(notRunTopUps()).toHaveLength(sent.length);
   });
 
   then('copies of these sent later do not run either', async () => {
     await fleets.pause(1_500);
-    await resend(toldNotRun().map(one => one.key));
+    await resend(notRunTopUps().map(one => one.key));
   });
 
   then(/^after the targets are back/, async () => {
@@ -159,25 +159,25 @@
   });
 
   then('no key told "not-run" was ever run', async () => {
-    const runs = await fleet.runs();
-    const ran = toldNotRun().filter(one => runs[one.key] !== undefined);
+    const runs = await fleet.runCounts();
+    const ran = notRunTopUps().filter(one => runs[one.key] !== undefined);
     expect(ran).toEqual([]);
   });
 
   then('none is told "not-run"', () => {
-    expect(toldNotRun()).toEqual([]);
+    expect(notRunTopUps()).toEqual([]);
   });
 
   then('each of them ran once, also after copies', async () => {
     await resend(sent.map(one => one.key));
-    const runs = await fleet.runs();
+    const runs = await fleet.runCounts();
     expect(sent.map(one => runs[one.key])).toEqual(sent.map(() => 1));
   });
 
   then(/^it is refused as "(.*)" and nothing ran$/, async (kind: string) => {
     const [one] = sent;
-    expect(one!.answer.headers['ferrycleat-refusal']).toBe(kind);
-    expect(await fleet.runs()).toEqual({});
+    expect(one!.response.headers['ferrycleat-refusal']).toBe(kind);
+    expect(await fleet.runCounts()).toEqual({});
   });
 };
 
--- a/features/one-map.steps.ts
+++ b/features/one-map.steps.ts
@@ -12,7 +12,7 @@
 const LAYERS = 2;
 
 /** What the engine stand-in has recorded. */
-interface Steps {
+interface StepReport {
   readonly steps: number;
   readonly mixedSteps: number;
   readonly blockedMs: number;
@@ -24,31 +24,33 @@
 
 let fleet: fleets.Fleet;
 let rpc: RpcClient;
-let before: Steps;
+let baseline: StepReport;
 
 afterEach(async () => {
   rpc.close();
   await fleet.close();
 });
 
-function readSteps(): Promise<Steps> {
+function readSteps(): Promise<StepReport> {
   return testHttp.callJson(fleet.engine[0]!, 'GET', '/standin/steps');
 }
 
-let turn = 0;
+let changeCount = 0;
 
 /** Asks a rank's sidecar to lead a change to some other map. */
-function lead(rank: number) {
-  turn += 1;
+function proposeChange(rank: number) {
+  changeCount += 1;
   const layers = Array.from({length: LAYERS}, () =>
-    Array.from({length: EXPERTS}, (_, expert) => [(expert + turn) % RANKS]),
+    Array.from({length: EXPERTS}, (_, expert) => [
+      (expert + changeCount) % RANKS,
+    ]),
   );
   const address = fleet.address(`rank-${rank}`);
   return rpc.call(address, app.propose, {layers}, 20_000);
 }
 
 /** Acts once the leader's nth order of a name has passed the relays. */
-function onOrder(name: string, nth: number, act: () => void): void {
+function onMethodCall(name: string, nth: number, act: () => void): void {
   let seen = 0;
   for (let rank = 1; rank < RANKS; rank += 1) {
     fleet.relays.get(`peer-${rank}`)!.onChunk = (direction, text) => {
@@ -62,7 +64,7 @@
   }
 }
 
-function forgetOrders(): void {
+function clearRelayHooks(): void {
   for (const relay of fleet.relays.values()) {
     relay.onChunk = undefined;
   }
@@ -77,7 +79,7 @@
       entries: 1,
       relayRanks: true,
     });
-    before = await readSteps();
+    baseline = await readSteps();
   });
 
   given('the platform is down', async () => {
@@ -88,7 +90,7 @@
 
   when(/^the leader changes the map (\d+) times$/, async (times: string) => {
     for (let at = 0; at < Number(times); at += 1) {
-      const end = await lead(0);
+      const end = await proposeChange(0);
       expect(end).toEqual({ok: true, value: {end: 'committed'}});
       await fleets.eventually('the new map is run', async () => {
         const now = await readSteps();
@@ -101,13 +103,13 @@
     /^the leader is killed after its (\d+) "(.*)" of a change$/,
     async (nth: string, order: string) => {
       const killed = new Promise<void>(resolve =>
-        onOrder(order, Number(nth), () => {
+        onMethodCall(order, Number(nth), () => {
           void fleet.process('rank-0').kill().then(resolve);
         }),
       );
-      await lead(0);
+      await proposeChange(0);
       await killed;
-      forgetOrders();
+      clearRelayHooks();
       await fleet.restart('rank-0');
     },
   );
@@ -116,19 +118,19 @@
     /^the leader is frozen after its (\d+) "(.*)" of a change$/,
     async (nth: string, order: string) => {
       const frozen = new Promise<void>(resolve =>
-        onOrder(order, Number(nth), () => {
+        onMethodCall(order, Number(nth), () => {
           fleet.process('rank-0').freeze();
           resolve();
         }),
       );
-      void lead(0);
+      void proposeChange(0);
       await frozen;
-      forgetOrders();
+      clearRelayHooks();
     },
   );
 
   when('another rank leads a change of its own', async () => {
-    await Promise.race([lead(1), fleets.pause(2_000)]);
+    await Promise.race([proposeChange(1), fleets.pause(2_000)]);
   });
 
   when('the frozen leader wakes', async () => {
@@ -141,10 +143,10 @@
     relay.onChunk = (direction, text) => {
       if (direction === 'down' && text.includes('"armed"')) {
         relay.cut();
-        setTimeout(() => relay.mend(), 1_500);
+        setTimeout(() => relay.restore(), 1_500);
       }
     };
-    await lead(0);
+    await proposeChange(0);
   });
 
   when(
@@ -153,27 +155,27 @@
       const relay = fleet.relays.get(`peer-${rank}`)!;
       relay.onChunk = (direction, text) => {
         if (direction === 'up' && text.includes(`"${order}"`)) {
-          relay.dropAnswers = true;
+          relay.dropResponses = true;
         }
       };
       setTimeout(() => {
         relay.onChunk = undefined;
-        relay.dropAnswers = false;
-        relay.breakAll();
+        relay.dropResponses = false;
+        relay.destroyConnections();
       }, 1_500);
-      await lead(0);
+      await proposeChange(0);
     },
   );
 
   when(/^ranks 0 and 1 lead changes .* (\d+) times$/, async (n: string) => {
     for (let at = 0; at < Number(n); at += 1) {
-      await Promise.all([lead(0), lead(1)]);
+      await Promise.all([proposeChange(0), proposeChange(1)]);
     }
   });
 
   when("the group's engines restart without a map", async () => {
     await fleets.pause(300);
-    before = await readSteps();
+    baseline = await readSteps();
     await testHttp.callJson(fleet.engine[0]!, 'POST', '/standin/restart', {});
   });
 
@@ -190,7 +192,7 @@
           }
         };
       });
-      void lead(0);
+      void proposeChange(0);
       await killed;
       await fleet.restart(id);
     },
@@ -234,7 +236,7 @@
         );
         const versions = new Set(answers.map(answer => answer.version));
         return (
-          now.steps > Math.max(atOnce.steps, before.steps) + 10 &&
+          now.steps > Math.max(atOnce.steps, baseline.steps) + 10 &&
           answers.every(answer => answer.hold === null) &&
           versions.size === 1 &&
           !versions.has(null)
--- a/features/streams.steps.ts
+++ b/features/streams.steps.ts
@@ -9,7 +9,7 @@
 
 let fleet: fleets.Fleet;
 let streams: {stream: testHttp.EventStream; content: string; tokens: number}[];
-let whole: testHttp.Answer;
+let response: testHttp.HttpResponse;
 
 afterEach(async () => fleet.close());
 
@@ -17,7 +17,7 @@
   return expectedText([{role: 'user', content}], tokens);
 }
 
-function open(
+function openStream(
   entry: string,
   content: string,
   tokens: number,
@@ -28,23 +28,23 @@
   return stream;
 }
 
-async function faultAll(faults: unknown): Promise<void> {
+async function setEngineFaults(faults: unknown): Promise<void> {
   await Promise.all(
     fleet.engine.map(address => fleet.setFaults(address, faults)),
   );
 }
 
-async function expectWhole(): Promise<void> {
+async function expectCompleteStreams(): Promise<void> {
   for (const {stream, content, tokens} of streams) {
     await stream.whenEnded();
     expect(stream.error).toBeUndefined();
     expect(stream.text).toBe(textFor(content, tokens));
-    expect(stream.isWhole).toBe(true);
+    expect(stream.isComplete).toBe(true);
   }
 }
 
 /** The target's name in an event's id. */
-function targetOf(stream: testHttp.EventStream): string {
+function targetIdOf(stream: testHttp.EventStream): string {
   return stream.ids[0]!.split('.')[0]!;
 }
 
@@ -57,37 +57,37 @@
   when(
     /^the engine cuts a stream of (\d+) tokens after (\d+)/,
     async (n, at) => {
-      await faultAll({cutAfter: Number(at)});
-      await open('entry-0', 'cut me', Number(n)).whenEnded();
+      await setEngineFaults({cutAfter: Number(at)});
+      await openStream('entry-0', 'cut me', Number(n)).whenEnded();
     },
   );
 
   when(/^the engine's events are "(.*)"$/, async (fault: string) => {
-    await faultAll(fault === 'late' ? {lateMs: 300} : {[fault]: true});
+    await setEngineFaults(fault === 'late' ? {lateMs: 300} : {[fault]: true});
   });
 
   when(/^(\d+) callers stream answers of (\d+) tokens/, (count, tokens) => {
     for (let caller = 0; caller < Number(count); caller += 1) {
-      open(`entry-${caller % 2}`, `prompt ${caller}`, Number(tokens));
+      openStream(`entry-${caller % 2}`, `prompt ${caller}`, Number(tokens));
     }
   });
 
   when("every rank's answers name another request", () =>
-    faultAll({foreign: true}),
+    setEngineFaults({foreign: true}),
   );
 
   when(/^a caller streams an answer of (\d+) tokens$/, async tokens => {
-    await open('entry-0', 'whose is it?', Number(tokens)).whenEnded();
+    await openStream('entry-0', 'whose is it?', Number(tokens)).whenEnded();
   });
 
   when(
     /^the entry is killed after (\d+) events of a stream of (\d+)/,
     async (events, tokens) => {
-      const stream = open('entry-0', 'go on', Number(tokens));
+      const stream = openStream('entry-0', 'go on', Number(tokens));
       await stream.whenEvents(Number(events));
       await fleet.process('entry-0').kill();
       await stream.whenEnded();
-      expect(stream.isWhole).toBe(false);
+      expect(stream.isComplete).toBe(false);
     },
   );
 
@@ -100,7 +100,7 @@
   });
 
   when(/^another account asks for the rest/, async () => {
-    const stream = open('entry-0', 'mine alone', 60);
+    const stream = openStream('entry-0', 'mine alone', 60);
     await stream.whenEvents(5);
     const last = stream.ids[stream.ids.length - 1]!;
     const other = fleet.reconnect('entry-1', 'beta', last);
@@ -111,16 +111,16 @@
   when(
     /^the stream's sidecar is killed after (\d+) of (\d+)/,
     async (events, tokens) => {
-      const stream = open('entry-0', 'keep going', Number(tokens));
+      const stream = openStream('entry-0', 'keep going', Number(tokens));
       await stream.whenEvents(Number(events));
-      const target = targetOf(stream);
+      const target = targetIdOf(stream);
       await fleet.process(target).kill();
       await fleet.restart(target);
     },
   );
 
   when(/^the engine is killed after (\d+) of (\d+) tokens$/, async (at, n) => {
-    const stream = open('entry-0', 'lost', Number(n));
+    const stream = openStream('entry-0', 'lost', Number(n));
     await stream.whenEvents(Number(at));
     await fleet.process('engine').kill();
     await stream.whenEnded();
@@ -128,8 +128,8 @@
 
   when('two callers send the same request id at once', () => {
     const id = '01890a5d-ac96-774b-bcce-b302099a8057';
-    open('entry-0', 'first caller', 30, {'ferrycleat-request': id});
-    open('entry-1', 'second caller', 30, {'ferrycleat-request': id});
+    openStream('entry-0', 'first caller', 30, {'ferrycleat-request': id});
+    openStream('entry-1', 'second caller', 30, {'ferrycleat-request': id});
   });
 
   when('the engine is killed while it writes a whole answer', async () => {
@@ -137,7 +137,7 @@
       fleet.address('entry-0'),
       'POST',
       '/v1/chat/completions',
-      site.auth('alpha'),
+      site.authHeaders('alpha'),
       JSON.stringify({
         model: 'assistant',
         max_tokens: 400,
@@ -146,22 +146,24 @@
     );
     await fleets.pause(300);
     await fleet.process('engine').kill();
-    whole = await pending;
+    response = await pending;
   });
 
   when(/^a caller goes away after (\d+) of (\d+)/, async (at, tokens) => {
-    const stream = open('entry-0', 'never mind', Number(tokens));
+    const stream = openStream('entry-0', 'never mind', Number(tokens));
     await stream.whenEvents(Number(at));
     stream.close();
   });
 
-  then(/^(?:the|every) caller has the whole answer/, () => expectWhole());
+  then(/^(?:the|every) caller has the whole answer/, () =>
+    expectCompleteStreams(),
+  );
 
   then('the caller got a typed refusal and no token', () => {
     const [{stream}] = streams as [(typeof streams)[0]];
     expect(stream.status).toBe(502);
     expect(stream.headers['ferrycleat-refusal']).toBe('target-failed');
-    expect(stream.datas).toEqual([]);
+    expect(stream.payloads).toEqual([]);
   });
 
   then('the two parts are the whole answer to its own prompt', () => {
@@ -173,18 +175,18 @@
     });
     const text = streams.map(part => part.stream.text).join('');
     expect(text).toBe(textFor(streams[0]!.content, streams[0]!.tokens));
-    expect(streams[1]!.stream.isWhole).toBe(true);
+    expect(streams[1]!.stream.isComplete).toBe(true);
   });
 
   then('it is refused and gets no token', () => {
     const [{stream}] = streams as [(typeof streams)[0]];
     expect(stream.status).toBe(410);
-    expect(stream.datas).toEqual([]);
+    expect(stream.payloads).toEqual([]);
   });
 
   then("the caller's stream ends with a typed error and no end mark", () => {
     const [{stream, content}] = streams as [(typeof streams)[0]];
-    expect(stream.isWhole).toBe(false);
+    expect(stream.isComplete).toBe(false);
     expect(JSON.parse(stream.error ?? '{}')).toMatchObject({
       type: '/problems/stream-lost',
       outcome: 'unknown',
@@ -193,9 +195,9 @@
   });
 
   then('the caller can see that the answer is not whole', () => {
-    const isRefused = whole.status >= 500;
-    expect(isRefused || whole.cut).toBe(true);
-    expect(whole.headers['ferrycleat-outcome']).not.toBe('not-run');
+    const isRefused = response.status >= 500;
+    expect(isRefused || response.isTruncated).toBe(true);
+    expect(response.headers['ferrycleat-outcome']).not.toBe('not-run');
   });
 
   then(/^the engine's work for it is cancelled within (\d+)/, async seconds => {
--- a/features/support/chaos.ts
+++ b/features/support/chaos.ts
@@ -32,33 +32,33 @@
   readonly outcomes: string[];
 }
 
-export class Chaos {
+export class ChaosRun {
   private readonly violations: string[] = [];
   private readonly faults: string[] = [];
   private readonly topUps: TopUp[] = [];
   private readonly rpc = new RpcClient();
   private streams = 0;
   private wholeStreams = 0;
-  private running = true;
+  private isRunning = true;
 
   constructor(private readonly fleet: fleets.Fleet) {}
 
   /** Runs for a time; resolves once the fleet had time to settle. */
   async run(milliseconds: number): Promise<ChaosReport> {
     const lines = [
-      ...ENTRIES.map(entry => this.streamLine(entry)),
-      ...ENTRIES.map(entry => this.topUpLine(entry)),
+      ...ENTRIES.map(entry => this.streamLoop(entry)),
+      ...ENTRIES.map(entry => this.topUpLoop(entry)),
     ];
     const endAt = Date.now() + milliseconds;
     while (Date.now() < endAt) {
       await this.injectFault();
       await fleets.pause(100 + random.below(300));
     }
-    this.running = false;
-    await this.mendAll();
+    this.isRunning = false;
+    await this.clearFaults();
     await Promise.all(lines);
     await fleets.pause(SETTLE_MS);
-    await this.checkKeys();
+    await this.checkTopUps();
     await this.checkSteps();
     this.rpc.close();
     return {
@@ -75,7 +75,7 @@
   private async injectFault(): Promise<void> {
     const kinds = ['kill', 'freeze', 'outage', 'lost answers', 'map'] as const;
     const kind = random.pick(kinds);
-    const id = random.pick(this.fleet.idsOf(''));
+    const id = random.pick(this.fleet.idsWithPrefix(''));
     const forMs = 50 + random.below(MAX_FAULT_MS);
     this.faults.push(`${kind} ${id} ${forMs}`);
     switch (kind) {
@@ -110,14 +110,14 @@
     void this.rpc.call(address, groupsApp.propose, {layers}, 5_000);
   }
 
-  private async mendAll(): Promise<void> {
+  private async clearFaults(): Promise<void> {
     const faults = {outage: false, loseAnswers: 0};
     await this.fleet.setFaults(this.fleet.platform, faults);
-    this.fleet.idsOf('').forEach(id => this.fleet.process(id).thaw());
+    this.fleet.idsWithPrefix('').forEach(id => this.fleet.process(id).thaw());
   }
 
-  private async streamLine(entry: string): Promise<void> {
-    for (let turn = 0; this.running; turn += 1) {
+  private async streamLoop(entry: string): Promise<void> {
+    for (let turn = 0; this.isRunning; turn += 1) {
       const content = `${entry} asks ${turn}`;
       const stream = this.fleet.chat(entry, 'alpha', content, STREAM_TOKENS);
       await Promise.race([stream.whenEnded(), fleets.pause(20_000)]);
@@ -131,8 +131,8 @@
     const messages = [{role: 'user', content}];
     const text = expectedText(messages, STREAM_TOKENS);
     this.streams += 1;
-    this.wholeStreams += stream.isWhole ? 1 : 0;
-    if (stream.isWhole && stream.text !== text) {
+    this.wholeStreams += stream.isComplete ? 1 : 0;
+    if (stream.isComplete && stream.text !== text) {
       this.violations.push(`a stream took an end for the whole: ${content}`);
     }
     if (!text.startsWith(stream.text)) {
@@ -140,8 +140,8 @@
     }
   }
 
-  private async topUpLine(entry: string): Promise<void> {
-    while (this.running) {
+  private async topUpLoop(entry: string): Promise<void> {
+    while (this.isRunning) {
       const key = await this.tryMint(entry);
       if (key === undefined) {
         await fleets.pause(100);
@@ -164,18 +164,18 @@
       this.fleet.address(entry),
       'POST',
       '/v1/request-keys',
-      site.auth('alpha'),
+      site.authHeaders('alpha'),
       JSON.stringify({service: 'ledger'}),
       3_000,
     );
-    if (answer.status !== 200 || answer.cut) {
+    if (answer.status !== 200 || answer.isTruncated) {
       return undefined;
     }
     return (JSON.parse(answer.text) as {keys: string[]}).keys[0];
   }
 
-  private async checkKeys(): Promise<void> {
-    const runs = await this.fleet.runs();
+  private async checkTopUps(): Promise<void> {
+    const runs = await this.fleet.runCounts();
     for (const {key, outcomes} of this.topUps) {
       const count = runs[key] ?? 0;
       if (count > 1) {
@@ -210,6 +210,6 @@
 }
 
 /** A fleet for it. */
-export function openChaosFleet(): Promise<fleets.Fleet> {
+export function startChaosFleet(): Promise<fleets.Fleet> {
   return fleets.Fleet.start({ranks: RANKS, service: {termMs: 4_000}});
 }
--- a/features/support/fleet.ts
+++ b/features/support/fleet.ts
@@ -16,10 +16,10 @@
 
 const HOST = '127.0.0.1';
 const HALLS = ['hall-a', 'hall-b', 'hall-c'] as const;
-const READY_PATIENCE_MS = 15_000;
-const POLL_MS = 25;
+const READY_TIMEOUT_MS = 15_000;
+const POLL_INTERVAL_MS = 25;
 /** Names the folder in which each fleet leaves the logs of its processes. */
-const LOGS_VARIABLE = 'FERRYCLEAT_TEST_LOGS';
+const LOG_DIRECTORY_VARIABLE = 'FERRYCLEAT_TEST_LOGS';
 
 /** What a fleet consists of. */
 export interface FleetOptions {
@@ -37,25 +37,25 @@
   readonly sidecarArgs?: readonly string[];
 }
 
-interface Placed {
+interface RunningInstance {
   readonly instance: Instance;
   /** Where the process itself listens, past any relay. */
-  readonly own: string;
+  readonly listenAddress: string;
   readonly process: TestProcess;
 }
 
 /** Polls until true; throws the message otherwise. */
 export async function eventually(
-  what: string,
+  condition: string,
   check: () => Promise<boolean> | boolean,
-  patienceMs = READY_PATIENCE_MS,
+  timeoutMs = READY_TIMEOUT_MS,
 ): Promise<void> {
-  const giveUpAt = Date.now() + patienceMs;
+  const deadline = Date.now() + timeoutMs;
   while (!(await check())) {
-    if (Date.now() > giveUpAt) {
-      throw new Error(`not within ${patienceMs} ms: ${what}`);
+    if (Date.now() > deadline) {
+      throw new Error(`not within ${timeoutMs} ms: ${condition}`);
     }
-    await pause(POLL_MS);
+    await pause(POLL_INTERVAL_MS);
   }
 }
 
@@ -66,7 +66,7 @@
 export class Fleet {
   readonly processes = new Map<string, TestProcess>();
   readonly relays = new Map<string, Relay>();
-  private readonly placed = new Map<string, Placed>();
+  private readonly instances = new Map<string, RunningInstance>();
   platform = '';
   engine: string[] = [];
   ledger = '';
@@ -77,7 +77,7 @@
   static async start(options: FleetOptions = {}): Promise<Fleet> {
     const fleet = new Fleet(options);
     try {
-      await fleet.open();
+      await fleet.startAll();
     } catch (err) {
       await fleet.close();
       throw err;
@@ -86,14 +86,14 @@
   }
 
   async close(): Promise<void> {
-    this.keepLogs();
+    this.saveLogs();
     await Promise.all([...this.processes.values()].map(p => p.destroy()));
     await Promise.all([...this.relays.values()].map(relay => relay.close()));
   }
 
   /** Keeps what all processes logged, where a folder is named for it. */
-  private keepLogs(): void {
-    const folder = process.env[LOGS_VARIABLE];
+  private saveLogs(): void {
+    const folder = process.env[LOG_DIRECTORY_VARIABLE];
     if (folder === undefined) {
       return;
     }
@@ -107,7 +107,7 @@
 
   /** Address of a placed process. */
   address(id: string): string {
-    return this.placed.get(id)!.own;
+    return this.instances.get(id)!.listenAddress;
   }
 
   process(id: string): TestProcess {
@@ -115,8 +115,8 @@
   }
 
   /** Ids of placed processes whose names start so. */
-  idsOf(prefix: string): string[] {
-    return [...this.placed.keys()].filter(id => id.startsWith(prefix));
+  idsWithPrefix(prefix: string): string[] {
+    return [...this.instances.keys()].filter(id => id.startsWith(prefix));
   }
 
   /** Sets faults on a stand-in. */
@@ -139,8 +139,8 @@
   }
 
   /** Tells the platform's list of an instance. */
-  async list(id: string, state: 'live' | 'leaving'): Promise<void> {
-    const {instance} = this.placed.get(id)!;
+  async setInstanceState(id: string, state: 'live' | 'leaving'): Promise<void> {
+    const {instance} = this.instances.get(id)!;
     const listed = {...instance, state};
     await testHttp.callJson(
       this.platform,
@@ -171,12 +171,12 @@
   }
 
   /** Runs of the ledger by key. */
-  runs(): Promise<Record<string, number>> {
+  runCounts(): Promise<Record<string, number>> {
     return testHttp.callJson(this.ledger, 'GET', '/runs');
   }
 
   /** When a stand-in turned requests away, in Unix milliseconds. */
-  async turnedAway(address: string): Promise<readonly number[]> {
+  async rejectionTimes(address: string): Promise<readonly number[]> {
     const {arrivals} = await testHttp.callJson<{arrivals: number[]}>(
       address,
       'GET',
@@ -199,7 +199,7 @@
       max_tokens: tokens,
       messages: [{role: 'user', content}],
     });
-    const headers = {...site.auth(account), ...extra};
+    const headers = {...site.authHeaders(account), ...extra};
     return new testHttp.EventStream(this.address(entry), headers, body);
   }
 
@@ -209,7 +209,10 @@
     account: site.AccountName,
     lastEventId: string,
   ): testHttp.EventStream {
-    const headers = {...site.auth(account), 'last-event-id': lastEventId};
+    const headers = {
+      ...site.authHeaders(account),
+      'last-event-id': lastEventId,
+    };
     return new testHttp.EventStream(this.address(entry), headers, undefined);
   }
 
@@ -221,7 +224,7 @@
         this.address(entry),
         'POST',
         '/v1/request-keys',
-        site.auth(account),
+        site.authHeaders(account),
         JSON.stringify({service: 'ledger'}),
       );
       const document = JSON.parse(answer.text || '{}') as {keys?: string[]};
@@ -238,42 +241,54 @@
     key: string,
     amount = 10,
     extra: Record<string, string> = {},
-  ): Promise<testHttp.Answer> {
+  ): Promise<testHttp.HttpResponse> {
     return testHttp.call(
       this.address(entry),
       'POST',
       '/ledger/top-ups',
-      {...site.auth(account), 'idempotency-key': key, ...extra},
+      {...site.authHeaders(account), 'idempotency-key': key, ...extra},
       JSON.stringify({phone: '5125550101', amount}),
     );
   }
 
-  private async open(): Promise<void> {
-    await this.openStandins();
+  private async startAll(): Promise<void> {
+    await this.startStandins();
     await this.apply(site.makeTemplate(this.options.service));
     await this.apply(site.makeAccount('alpha'));
     await this.apply(site.makeAccount('beta'));
-    await this.placeSidecars();
-    await this.placeEntries();
-    const ids = [...this.placed.keys()];
+    await this.startSidecars();
+    await this.startEntries();
+    const ids = [...this.instances.keys()];
     await Promise.all(ids.map(id => this.whenReady(id)));
-    await Promise.all(this.idsOf('entry').map(id => this.whenServing(id)));
+    await Promise.all(
+      this.idsWithPrefix('entry').map(id => this.whenServing(id)),
+    );
   }
 
-  private async openStandins(): Promise<void> {
+  private async startStandins(): Promise<void> {
     const {ranks = 2, stepMs = 5, checksFences = true} = this.options;
     const [platform, ledger] = await freePorts(2);
-    const first = await this.freeRange(ranks);
+    const first = await this.findAdjacentPorts(ranks);
     this.platform = `${HOST}:${platform}`;
     this.ledger = `${HOST}:${ledger}`;
     this.engine = Array.from(
       {length: ranks},
       (_, rank) => `${HOST}:${first + rank}`,
     );
-    this.run('platform', ['standin', 'platform', '--listen', this.platform]);
-    this.run('ledger', ['standin', 'service', '--listen', this.ledger]);
+    this.startProcess('platform', [
+      'standin',
+      'platform',
+      '--listen',
+      this.platform,
+    ]);
+    this.startProcess('ledger', [
+      'standin',
+      'service',
+      '--listen',
+      this.ledger,
+    ]);
     if (ranks > 0) {
-      this.run('engine', [
+      this.startProcess('engine', [
         ...['standin', 'engine', '--listen', `${HOST}:${first}`],
         ...['--ranks', String(ranks), '--step-ms', String(stepMs)],
         ...['--checks-fences', String(checksFences)],
@@ -288,7 +303,7 @@
   }
 
   /** Neighbouring ports for the ranks of one engine process. */
-  private async freeRange(count: number): Promise<number> {
+  private async findAdjacentPorts(count: number): Promise<number> {
     for (;;) {
       const ports = await freePorts(count);
       const first = ports[0] ?? 0;
@@ -298,28 +313,28 @@
     }
   }
 
-  private async placeSidecars(): Promise<void> {
+  private async startSidecars(): Promise<void> {
     const {ledgers = 3, ranks = 2} = this.options;
     for (let index = 0; index < ledgers; index += 1) {
       const hall = HALLS[index % HALLS.length]!;
       const id = `ledger-${index}`;
-      const target = await this.relayed(id, this.ledger);
-      await this.place(id, hall, 'service/ledger', [
+      const target = await this.resolveTarget(id, this.ledger);
+      await this.startInstance(id, hall, 'service/ledger', [
         ...['--target', target, '--serves', 'service/ledger'],
       ]);
     }
     for (let rank = 0; rank < ranks; rank += 1) {
       const id = `rank-${rank}`;
-      const target = await this.relayed(id, this.engine[rank]!);
+      const target = await this.resolveTarget(id, this.engine[rank]!);
       const args = [
         ...['--target', target, '--serves', 'model/assistant'],
         ...['--group', 'group-0', '--rank', String(rank)],
       ];
-      await this.place(id, HALLS[0], 'model/assistant', args, rank);
+      await this.startInstance(id, HALLS[0], 'model/assistant', args, rank);
     }
   }
 
-  private async relayed(id: string, target: string): Promise<string> {
+  private async resolveTarget(id: string, target: string): Promise<string> {
     return this.options.relayTargets ? this.openRelay(id, target) : target;
   }
 
@@ -331,15 +346,15 @@
     return `${HOST}:${port}`;
   }
 
-  private async placeEntries(): Promise<void> {
+  private async startEntries(): Promise<void> {
     const {entries = 2} = this.options;
     for (let index = 0; index < entries; index += 1) {
       const hall = HALLS[index % HALLS.length]!;
-      await this.place(`entry-${index}`, hall, '', []);
+      await this.startInstance(`entry-${index}`, hall, '', []);
     }
   }
 
-  private async place(
+  private async startInstance(
     id: string,
     hall: string,
     serves: string,
@@ -348,7 +363,7 @@
   ): Promise<void> {
     const own = `${HOST}:${(await freePorts(1))[0]}`;
     const role = serves === '' ? 'entry' : 'sidecar';
-    const process = this.run(id, [
+    const process = this.startProcess(id, [
       ...[role, '--id', id, '--hall', hall, '--platform', this.platform],
       ...['--listen', own],
       ...args,
@@ -366,11 +381,11 @@
       group: isRank ? 'group-0' : '',
       rank: rank ?? 0,
     };
-    this.placed.set(id, {instance, own, process});
-    await this.list(id, 'live');
+    this.instances.set(id, {instance, listenAddress: own, process});
+    await this.setInstanceState(id, 'live');
   }
 
-  private run(name: string, args: readonly string[]): TestProcess {
+  private startProcess(name: string, args: readonly string[]): TestProcess {
     const process = new TestProcess(name, args);
     this.processes.set(name, process);
     process.start();
@@ -384,7 +399,7 @@
       await eventually(`${id} streams`, async () => {
         const stream = this.chat(id, 'alpha', 'warm up', 1);
         await stream.whenEnded();
-        return stream.isWhole;
+        return stream.isComplete;
       });
     }
     if (ledgers > 0) {
--- a/features/support/http.ts
+++ b/features/support/http.ts
@@ -3,11 +3,11 @@
 import {createParser} from 'eventsource-parser';
 
 /** A whole answer; `cut` where the connection ended before the answer. */
-export interface Answer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly text: string;
-  readonly cut: boolean;
+  readonly isTruncated: boolean;
 }
 
 /** Sends a request; `status` 0 means that no answer came. */
@@ -18,9 +18,14 @@
   headers: Record<string, string> = {},
   body?: string,
   timeoutMs = 20_000,
-): Promise<Answer> {
+): Promise<HttpResponse> {
   return new Promise(resolve => {
-    const none: Answer = {status: 0, headers: {}, text: '', cut: true};
+    const none: HttpResponse = {
+      status: 0,
+      headers: {},
+      text: '',
+      isTruncated: true,
+    };
     const req = http.request(
       `http://${address}${path}`,
       {method, headers, agent: false},
@@ -36,7 +41,7 @@
             status: res.statusCode ?? 0,
             headers: res.headers,
             text,
-            cut,
+            isTruncated: cut,
           });
         };
         res.on('end', settle);
@@ -65,7 +70,7 @@
 /** A stream of events as a caller sees it. */
 export class EventStream {
   readonly ids: string[] = [];
-  readonly datas: string[] = [];
+  readonly payloads: string[] = [];
   error: string | undefined;
   /** What came where no stream did: a refusal. */
   body = '';
@@ -73,7 +78,7 @@
   headers: http.IncomingHttpHeaders = {};
   private readonly req: http.ClientRequest;
   private readonly ended: Promise<void>;
-  private readonly watchers = new Set<() => void>();
+  private readonly listeners = new Set<() => void>();
 
   constructor(
     address: string,
@@ -86,9 +91,9 @@
           this.error = event.data;
         } else {
           this.ids.push(event.id ?? '');
-          this.datas.push(event.data);
+          this.payloads.push(event.data);
         }
-        this.watchers.forEach(wake => wake());
+        this.listeners.forEach(wake => wake());
       },
     });
     const req = http.request(`http://${address}/v1/chat/completions`, {
@@ -115,13 +120,13 @@
   }
 
   /** True where the stream's own end has come. */
-  get isWhole(): boolean {
-    return this.datas[this.datas.length - 1] === '[DONE]';
+  get isComplete(): boolean {
+    return this.payloads[this.payloads.length - 1] === '[DONE]';
   }
 
   /** The text of all tokens. */
   get text(): string {
-    return this.datas
+    return this.payloads
       .filter(data => data !== '[DONE]')
       .map(data => {
         const chunk = JSON.parse(data) as {
@@ -138,13 +143,13 @@
 
   /** Resolves once this many events have come, or the stream has ended. */
   async whenEvents(count: number): Promise<void> {
-    while (this.datas.length < count) {
+    while (this.payloads.length < count) {
       const next = new Promise<void>(resolve => {
         const wake = () => {
-          this.watchers.delete(wake);
+          this.listeners.delete(wake);
           resolve();
         };
-        this.watchers.add(wake);
+        this.listeners.add(wake);
       });
       const isOver = await Promise.race([
         next.then(() => false),
--- a/features/support/ports.ts
+++ b/features/support/ports.ts
@@ -9,7 +9,7 @@
  */
 const FIRST_PORT = 11_000;
 const PORTS_PER_RANGE = 1_000;
-const RANGES = 21;
+const RANGE_COUNT = 21;
 /** The range of this file of tests, once it has one. */
 let range: Promise<PortRange> | undefined;
 // Files of tests share a process, and each loads its modules anew. Benches have
@@ -30,35 +30,35 @@
  * failed for an address in use.
  */
 class PortRange {
-  private next = 1;
+  private nextOffset = 1;
 
   private constructor(
     private readonly first: number,
-    private readonly guard: net.Server,
+    private readonly lock: net.Server,
   ) {}
 
   static async claim(): Promise<PortRange> {
-    for (let at = 0; at < RANGES; at += 1) {
+    for (let at = 0; at < RANGE_COUNT; at += 1) {
       const first = FIRST_PORT + at * PORTS_PER_RANGE;
-      const guard = await listen(first);
+      const guard = await tryListen(first);
       if (guard !== undefined) {
         guard.unref();
         return new PortRange(first, guard);
       }
     }
-    throw new RangeError(`all ${RANGES} ranges of ports are taken`);
+    throw new RangeError(`all ${RANGE_COUNT} ranges of ports are taken`);
   }
 
   close(): void {
-    this.guard.close();
+    this.lock.close();
   }
 
   async take(count: number): Promise<number[]> {
     const ports: number[] = [];
     while (ports.length < count) {
-      const port = this.first + this.next;
-      this.next = (this.next % (PORTS_PER_RANGE - 1)) + 1;
-      const probe = await listen(port);
+      const port = this.first + this.nextOffset;
+      this.nextOffset = (this.nextOffset % (PORTS_PER_RANGE - 1)) + 1;
+      const probe = await tryListen(port);
       if (probe !== undefined) {
         await new Promise(resolve => probe.close(resolve));
         ports.push(port);
@@ -69,7 +69,7 @@
 }
 
 /** Undefined where the port is taken. */
-function listen(port: number): Promise<net.Server | undefined> {
+function tryListen(port: number): Promise<net.Server | undefined> {
   return new Promise(resolve => {
     const server = net.createServer();
     server.once('error', () => resolve(undefined));
--- a/features/support/process.ts
+++ b/features/support/process.ts
@@ -4,7 +4,7 @@
 
 const BUNDLE = path.join(process.cwd(), 'dist', 'ferrycleat.js');
 const BINARY = path.join(process.cwd(), 'dist', 'ferrycleat');
-const KILL_PATIENCE_MS = 5_000;
+const KILL_TIMEOUT_MS = 5_000;
 
 /** A logged event. */
 export interface LoggedEvent {
@@ -39,7 +39,7 @@
     child.stderr?.on('data', (text: string) => {
       const lines = (rest + text).split('\n');
       rest = lines.pop() ?? '';
-      lines.forEach(line => this.note(line));
+      lines.forEach(line => this.recordLine(line));
     });
   }
 
@@ -84,7 +84,7 @@
     this.thaw();
     const timer = setTimeout(
       () => this.child?.kill('SIGKILL'),
-      KILL_PATIENCE_MS,
+      KILL_TIMEOUT_MS,
     );
     this.child?.kill('SIGKILL');
     await this.ended;
@@ -95,7 +95,7 @@
     return this.events.filter(entry => entry.event === event).length;
   }
 
-  private note(line: string): void {
+  private recordLine(line: string): void {
     try {
       this.events.push(JSON.parse(line) as LoggedEvent);
     } catch {
--- a/features/support/relay.ts
+++ b/features/support/relay.ts
@@ -11,7 +11,7 @@
   /** Called with each chunk that passes. */
   onChunk: ((direction: 'up' | 'down', text: string) => void) | undefined;
   /** Swallows what the target answers. */
-  dropAnswers = false;
+  dropResponses = false;
   /** Bytes carried, by direction. */
   bytes = {up: 0, down: 0};
 
@@ -35,11 +35,11 @@
   /** Breaks all connections and refuses new ones. */
   cut(): void {
     this.isCut = true;
-    this.breakAll();
+    this.destroyConnections();
   }
 
   /** Breaks all connections once. */
-  breakAll(): void {
+  destroyConnections(): void {
     this.sockets.forEach(socket => socket.destroy());
   }
 
@@ -49,14 +49,14 @@
     this.sockets.forEach(socket => socket.pause());
   }
 
-  mend(): void {
+  restore(): void {
     this.isCut = false;
     this.isStalled = false;
     this.sockets.forEach(socket => socket.resume());
   }
 
   async close(): Promise<void> {
-    this.breakAll();
+    this.destroyConnections();
     await new Promise<void>(resolve => this.server.close(() => resolve()));
   }
 
@@ -66,12 +66,12 @@
       return;
     }
     const {host, port} = splitAddress(this.target);
-    const peer = net.connect(port, host);
-    this.pipe(socket, peer, 'up');
-    this.pipe(peer, socket, 'down');
+    const upstream = net.connect(port, host);
+    this.pipe(socket, upstream, 'up');
+    this.pipe(upstream, socket, 'down');
     if (this.isStalled) {
       socket.pause();
-      peer.pause();
+      upstream.pause();
     }
   }
 
@@ -83,7 +83,7 @@
     this.sockets.add(from);
     from.on('data', chunk => {
       this.bytes[direction] += chunk.length;
-      if (direction === 'down' && this.dropAnswers) {
+      if (direction === 'down' && this.dropResponses) {
         return;
       }
       to.write(chunk);
--- a/features/support/site.ts
+++ b/features/support/site.ts
@@ -3,13 +3,13 @@
 import {sha256Hex} from '../../src/requests/headers';
 
 /** API keys of the accounts. */
-export const KEYS = {alpha: 'key-of-alpha', beta: 'key-of-beta'} as const;
-export type AccountName = keyof typeof KEYS;
+export const API_KEYS = {alpha: 'key-of-alpha', beta: 'key-of-beta'} as const;
+export type AccountName = keyof typeof API_KEYS;
 
 /** Headers of an account's calls. */
-export function auth(account: AccountName): Record<string, string> {
+export function authHeaders(account: AccountName): Record<string, string> {
   return {
-    authorization: `Bearer ${KEYS[account]}`,
+    authorization: `Bearer ${API_KEYS[account]}`,
     'content-type': 'application/json',
   };
 }
@@ -67,7 +67,7 @@
     kind: 'account',
     id,
     template: 'site',
-    keyDigests: [sha256Hex(KEYS[id])],
+    keyDigests: [sha256Hex(API_KEYS[id])],
     parameters,
   };
 }
--- a/features/together.steps.ts
+++ b/features/together.steps.ts
@@ -13,14 +13,14 @@
 
 const steps: StepDefinitions = ({given, when, then}) => {
   given(/^a fleet with two entries/, async () => {
-    fleet = await chaos.openChaosFleet();
+    fleet = await chaos.startChaosFleet();
   });
 
   when(
     /^failures drawn from seed (\d+) hit it for (\d+)/,
     async (seed: string, seconds: string) => {
       random.seed(Number(seed));
-      report = await new chaos.Chaos(fleet).run(Number(seconds) * 1_000);
+      report = await new chaos.ChaosRun(fleet).run(Number(seconds) * 1_000);
     },
   );
 
--- a/features/whole-path.steps.ts
+++ b/features/whole-path.steps.ts
@@ -15,7 +15,7 @@
 
   test('Requests and a change of configuration', steps => {
     let stream: testHttp.EventStream;
-    let answers: testHttp.Answer[];
+    let answers: testHttp.HttpResponse[];
     let key: string;
 
     steps.given(/^a platform, an engine group/, async () => {
@@ -29,13 +29,13 @@
 
     steps.then(/^the stream is whole/, () => {
       const messages = [{role: 'user', content: 'Why was it held?'}];
-      expect(stream.isWhole).toBe(true);
+      expect(stream.isComplete).toBe(true);
       expect(stream.text).toBe(expectedText(messages, 20));
     });
 
     steps.when('a caller looks up a balance', async () => {
       const address = fleet.address('entry-1');
-      const headers = site.auth('beta');
+      const headers = site.authHeaders('beta');
       const answer = await testHttp.call(
         address,
         'GET',
@@ -63,7 +63,7 @@
     steps.then(/^both answers are the same/, async () => {
       expect(answers.map(answer => answer.status)).toEqual([201, 201]);
       expect(answers[0]!.text).toBe(answers[1]!.text);
-      expect((await fleet.runs())[key]).toBe(1);
+      expect((await fleet.runCounts())[key]).toBe(1);
     });
 
     steps.when('an operator gives an account another API key', async () => {
