--- a/features/support/chaos.ts
+++ b/features/support/chaos.ts
@@ -1,7 +1,7 @@
 /**
- * All failures together: a seeded schedule of kills, freezes, outages, lost
- * answers and racing maps over a whole fleet under load, and the promises
- * checked at the end.
+ * Injects randomly drawn faults into a fleet under load and checks that streams carry
+ * only their own tokens, that no step mixes map versions and that no top-up runs twice.
+ * A seed doesn't fix the timing of the processes: two runs with the same seed can differ.
  */
 import * as groupsApp from '../../src/groups/app';
 import * as random from '../../src/random';
@@ -17,8 +17,8 @@
 const MAX_FAULT_MS = 900;
 const ENTRIES = ['entry-0', 'entry-1'];
 
-/** What went wrong, in words; empty where all promises held. */
 export interface ChaosReport {
+  /** Descriptions of broken guarantees. */
   readonly violations: string[];
   readonly streams: number;
   readonly wholeStreams: number;
@@ -43,9 +43,9 @@
 
   constructor(private readonly fleet: fleets.Fleet) {}
 
-  /** Runs for a time; resolves once the fleet had time to settle. */
+  /** Injects faults for `milliseconds`, lets the fleet recover and checks it. */
   async run(milliseconds: number): Promise<ChaosReport> {
-    const lines = [
+    const clients = [
       ...ENTRIES.map(entry => this.streamLoop(entry)),
       ...ENTRIES.map(entry => this.topUpLoop(entry)),
     ];
@@ -56,7 +56,7 @@
     }
     this.isRunning = false;
     await this.clearFaults();
-    await Promise.all(lines);
+    await Promise.all(clients);
     await fleets.pause(SETTLE_MS);
     await this.checkTopUps();
     await this.checkSteps();
@@ -76,22 +76,22 @@
     const kinds = ['kill', 'freeze', 'outage', 'lost answers', 'map'] as const;
     const kind = random.pick(kinds);
     const id = random.pick(this.fleet.idsWithPrefix(''));
-    const forMs = 50 + random.below(MAX_FAULT_MS);
-    this.faults.push(`${kind} ${id} ${forMs}`);
+    const durationMs = 50 + random.below(MAX_FAULT_MS);
+    this.faults.push(`${kind} ${id} ${durationMs}`);
     switch (kind) {
       case 'kill':
         await this.fleet.process(id).kill();
-        await fleets.pause(forMs / 4);
+        await fleets.pause(durationMs / 4);
         this.fleet.process(id).start();
         return;
       case 'freeze':
         this.fleet.process(id).freeze();
-        await fleets.pause(forMs);
+        await fleets.pause(durationMs);
         this.fleet.process(id).thaw();
         return;
       case 'outage':
         await this.fleet.setFaults(this.fleet.platform, {outage: true});
-        await fleets.pause(forMs);
+        await fleets.pause(durationMs);
         await this.fleet.setFaults(this.fleet.platform, {outage: false});
         return;
       case 'lost answers':
@@ -102,9 +102,9 @@
     }
   }
 
-  private proposeMap(rank: number, turn: number): void {
+  private proposeMap(rank: number, sequence: number): void {
     const layers = Array.from({length: 2}, () =>
-      Array.from({length: 16}, (_, expert) => [(expert + turn) % RANKS]),
+      Array.from({length: 16}, (_, expert) => [(expert + sequence) % RANKS]),
     );
     const address = this.fleet.address(`rank-${rank}`);
     void this.rpc.call(address, groupsApp.propose, {layers}, 5_000);
@@ -117,8 +117,8 @@
   }
 
   private async streamLoop(entry: string): Promise<void> {
-    for (let turn = 0; this.isRunning; turn += 1) {
-      const content = `${entry} asks ${turn}`;
+    for (let sequence = 0; this.isRunning; sequence += 1) {
+      const content = `${entry} asks ${sequence}`;
       const stream = this.fleet.chat(entry, 'alpha', content, STREAM_TOKENS);
       await Promise.race([stream.whenEnded(), fleets.pause(20_000)]);
       stream.close();
@@ -133,10 +133,12 @@
     this.streams += 1;
     this.wholeStreams += stream.isComplete ? 1 : 0;
     if (stream.isComplete && stream.text !== text) {
-      this.violations.push(`a stream took an end for the whole: ${content}`);
+      this.violations.push(
+        `a stream with the end marker is incomplete: ${content}`,
+      );
     }
     if (!text.startsWith(stream.text)) {
-      this.violations.push(`a stream is not its caller's: ${content}`);
+      this.violations.push(`a stream has another request's tokens: ${content}`);
     }
   }
 
@@ -151,16 +153,16 @@
       this.topUps.push(topUp);
       const COPIES = 3;
       for (let copy = 0; copy < COPIES; copy += 1) {
-        const through = ENTRIES[(copy + ENTRIES.indexOf(entry)) % 2]!;
-        const answer = await this.fleet.topUp(through, 'alpha', key);
-        const outcome = answer.headers['ferrycleat-outcome'];
+        const receiver = ENTRIES[(copy + ENTRIES.indexOf(entry)) % 2]!;
+        const response = await this.fleet.topUp(receiver, 'alpha', key);
+        const outcome = response.headers['ferrycleat-outcome'];
         topUp.outcomes.push(String(outcome ?? 'no answer'));
       }
     }
   }
 
   private async tryMint(entry: string): Promise<string | undefined> {
-    const answer = await testHttp.call(
+    const response = await testHttp.call(
       this.fleet.address(entry),
       'POST',
       '/v1/request-keys',
@@ -168,10 +170,10 @@
       JSON.stringify({service: 'ledger'}),
       3_000,
     );
-    if (answer.status !== 200 || answer.isTruncated) {
+    if (response.status !== 200 || response.isTruncated) {
       return undefined;
     }
-    return (JSON.parse(answer.text) as {keys: string[]}).keys[0];
+    return (JSON.parse(response.text) as {keys: string[]}).keys[0];
   }
 
   private async checkTopUps(): Promise<void> {
@@ -182,10 +184,10 @@
         this.violations.push(`${key} ran ${count} times: ${outcomes}`);
       }
       if (count > 0 && outcomes.includes('not-run')) {
-        this.violations.push(`${key} ran, and was told: ${outcomes}`);
+        this.violations.push(`${key} ran, outcomes sent: ${outcomes}`);
       }
       if (count === 0 && outcomes.includes('ran')) {
-        this.violations.push(`${key} did not run, and was told: ${outcomes}`);
+        this.violations.push(`${key} did not run, outcomes sent: ${outcomes}`);
       }
     }
   }
@@ -201,15 +203,16 @@
     await fleets.pause(1_000);
     const after = await read();
     if (after.mixedSteps > 0) {
-      this.violations.push(`${after.mixedSteps} steps were mixed`);
+      this.violations.push(
+        `${after.mixedSteps} steps ran with different map versions`,
+      );
     }
     if (after.steps <= before.steps) {
-      this.violations.push('the group stands still');
+      this.violations.push('the group runs no steps');
     }
   }
 }
 
-/** A fleet for it. */
 export function startChaosFleet(): Promise<fleets.Fleet> {
   return fleets.Fleet.start({ranks: RANKS, service: {termMs: 4_000}});
 }
--- a/features/support/fleet.ts
+++ b/features/support/fleet.ts
@@ -1,6 +1,7 @@
 /**
- * A small fleet of real processes on loopback: platform, engine group,
- * ledger, sidecars and entries, with relays where a test cuts.
+ * Runs a small deployment as real processes on loopback: the stand-ins of platform,
+ * engine group and ledger, with sidecars and entries. Network faults can be injected
+ * only where the options ask for relays.
  */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
@@ -18,33 +19,31 @@
 const HALLS = ['hall-a', 'hall-b', 'hall-c'] as const;
 const READY_TIMEOUT_MS = 15_000;
 const POLL_INTERVAL_MS = 25;
-/** Names the folder in which each fleet leaves the logs of its processes. */
 const LOG_DIRECTORY_VARIABLE = 'FERRYCLEAT_TEST_LOGS';
 
-/** What a fleet consists of. */
 export interface FleetOptions {
   readonly entries?: number;
   readonly ledgers?: number;
   readonly ranks?: number;
   readonly service?: Partial<Service>;
-  /** Steps of the engine, in ms. */
+  /** Duration of an engine step. */
   readonly stepMs?: number;
   readonly checksFences?: boolean;
-  /** Relays between sidecars and their targets. */
+  /** Puts relays named like the sidecars between sidecars and targets. */
   readonly relayTargets?: boolean;
-  /** Relays between the ranks' sidecars. */
+  /** Puts relays named `peer-<rank>` in front of the ranks' sidecars. */
   readonly relayRanks?: boolean;
   readonly sidecarArgs?: readonly string[];
 }
 
 interface RunningInstance {
   readonly instance: Instance;
-  /** Where the process itself listens, past any relay. */
+  /** Address of the process itself; `instance.address` may be a relay's. */
   readonly listenAddress: string;
   readonly process: TestProcess;
 }
 
-/** Polls until true; throws the message otherwise. */
+/** Polls until `check` returns true; throws once `timeoutMs` has passed. */
 export async function eventually(
   condition: string,
   check: () => Promise<boolean> | boolean,
@@ -53,7 +52,7 @@
   const deadline = Date.now() + timeoutMs;
   while (!(await check())) {
     if (Date.now() > deadline) {
-      throw new Error(`not within ${timeoutMs} ms: ${condition}`);
+      throw new Error(`condition not met within ${timeoutMs} ms: ${condition}`);
     }
     await pause(POLL_INTERVAL_MS);
   }
@@ -64,16 +63,20 @@
 }
 
 export class Fleet {
+  /** Processes by name, stand-ins included. */
   readonly processes = new Map<string, TestProcess>();
   readonly relays = new Map<string, Relay>();
   private readonly instances = new Map<string, RunningInstance>();
+  /** Address of the platform stand-in. */
   platform = '';
+  /** Addresses of the engine stand-in, one per rank. */
   engine: string[] = [];
+  /** Address of the ledger stand-in. */
   ledger = '';
 
   private constructor(private readonly options: FleetOptions) {}
 
-  /** Starts a fleet; resolves once it serves. */
+  /** Resolves once all processes are ready and every entry serves requests. */
   static async start(options: FleetOptions = {}): Promise<Fleet> {
     const fleet = new Fleet(options);
     try {
@@ -91,21 +94,21 @@
     await Promise.all([...this.relays.values()].map(relay => relay.close()));
   }
 
-  /** Keeps what all processes logged, where a folder is named for it. */
+  /** Writes the logged events to the directory of `LOG_DIRECTORY_VARIABLE`, if set. */
   private saveLogs(): void {
-    const folder = process.env[LOG_DIRECTORY_VARIABLE];
-    if (folder === undefined) {
+    const directory = process.env[LOG_DIRECTORY_VARIABLE];
+    if (directory === undefined) {
       return;
     }
     const lines = [...this.processes.values()].flatMap(({name, events}) =>
       events.map(event => JSON.stringify({process: name, ...event})),
     );
     const file = `${Date.now()}-${process.pid}.log`;
-    fs.mkdirSync(folder, {recursive: true});
-    fs.writeFileSync(path.join(folder, file), lines.join('\n'));
+    fs.mkdirSync(directory, {recursive: true});
+    fs.writeFileSync(path.join(directory, file), lines.join('\n'));
   }
 
-  /** Address of a placed process. */
+  /** Address of an entry or a sidecar, bypassing any relay. */
   address(id: string): string {
     return this.instances.get(id)!.listenAddress;
   }
@@ -114,43 +117,48 @@
     return this.processes.get(id)!;
   }
 
-  /** Ids of placed processes whose names start so. */
+  /** Ids of entries and sidecars; an empty prefix returns all. */
   idsWithPrefix(prefix: string): string[] {
     return [...this.instances.keys()].filter(id => id.startsWith(prefix));
   }
 
-  /** Sets faults on a stand-in. */
+  /** Sets faults on the stand-in at an address. */
   async setFaults(address: string, faults: unknown): Promise<void> {
     await testHttp.callJson(address, 'POST', '/standin/faults', faults);
   }
 
-  /** Applies a configuration document over the version in force. */
+  /** Applies a configuration document on top of its current version. */
   async apply(document: Document, author = 'test') {
     const store = new HttpObjectApi(this.platform);
     const key =
       document.kind === 'template'
         ? `config/templates/${document.name}`
         : `config/accounts/${document.id}`;
-    const held = await store.get(key);
-    const base = held.ok ? (held.value?.version ?? 0) : 0;
-    const applied = await edit.applyDocument(store, document, base, author);
+    const current = await store.get(key);
+    const baseVersion = current.ok ? (current.value?.version ?? 0) : 0;
+    const applied = await edit.applyDocument(
+      store,
+      document,
+      baseVersion,
+      author,
+    );
     store.close();
     return applied;
   }
 
-  /** Tells the platform's list of an instance. */
+  /** Sets an instance's state in the platform's instance list. */
   async setInstanceState(id: string, state: 'live' | 'leaving'): Promise<void> {
     const {instance} = this.instances.get(id)!;
-    const listed = {...instance, state};
+    const updated = {...instance, state};
     await testHttp.callJson(
       this.platform,
       'POST',
       '/standin/instances',
-      listed,
+      updated,
     );
   }
 
-  /** Starts a process again, on the same address. */
+  /** Starts an ended process on its previous address; resolves once it is ready. */
   async restart(id: string): Promise<void> {
     this.process(id).start();
     await this.whenReady(id);
@@ -158,7 +166,7 @@
 
   async whenReady(id: string): Promise<void> {
     await eventually(`${id} is ready`, async () => {
-      const answer = await testHttp.call(
+      const response = await testHttp.call(
         this.address(id),
         'GET',
         '/readyz',
@@ -166,16 +174,16 @@
         undefined,
         500,
       );
-      return answer.status === 200;
+      return response.status === 200;
     });
   }
 
-  /** Runs of the ledger by key. */
+  /** How often the ledger ran each key. */
   runCounts(): Promise<Record<string, number>> {
     return testHttp.callJson(this.ledger, 'GET', '/runs');
   }
 
-  /** When a stand-in turned requests away, in Unix milliseconds. */
+  /** When a stand-in rejected requests, in Unix milliseconds. */
   async rejectionTimes(address: string): Promise<readonly number[]> {
     const {arrivals} = await testHttp.callJson<{arrivals: number[]}>(
       address,
@@ -185,7 +193,7 @@
     return arrivals;
   }
 
-  /** Sends a chat completion as a stream. */
+  /** Requests a chat completion as a stream. */
   chat(
     entry: string,
     account: site.AccountName,
@@ -203,7 +211,7 @@
     return new testHttp.EventStream(this.address(entry), headers, body);
   }
 
-  /** Goes on with a stream through any entry. */
+  /** Resumes a stream after an event, through any entry. */
   reconnect(
     entry: string,
     account: site.AccountName,
@@ -216,25 +224,24 @@
     return new testHttp.EventStream(this.address(entry), headers, undefined);
   }
 
-  /** A key for the ledger, minted by the system. */
+  /** Mints a request key for the ledger; retries until an entry does so. */
   async mintKey(entry: string, account: site.AccountName): Promise<string> {
     let key: string | undefined;
-    await eventually('a key is minted', async () => {
-      const answer = await testHttp.call(
+    await eventually('a key has been minted', async () => {
+      const response = await testHttp.call(
         this.address(entry),
         'POST',
         '/v1/request-keys',
         site.authHeaders(account),
         JSON.stringify({service: 'ledger'}),
       );
-      const document = JSON.parse(answer.text || '{}') as {keys?: string[]};
+      const document = JSON.parse(response.text || '{}') as {keys?: string[]};
       key = document.keys?.[0];
       return key !== undefined;
     });
     return key!;
   }
 
-  /** A top-up with a key. */
   topUp(
     entry: string,
     account: site.AccountName,
@@ -296,13 +303,13 @@
     }
     for (const name of this.processes.keys()) {
       await eventually(
-        `${name} is up`,
+        `${name} has started`,
         () => this.process(name).count('FC1001') > 0,
       );
     }
   }
 
-  /** Neighbouring ports for the ranks of one engine process. */
+  /** The engine stand-in listens on consecutive ports; returns the first. */
   private async findAdjacentPorts(count: number): Promise<number> {
     for (;;) {
       const ports = await freePorts(count);
@@ -361,27 +368,29 @@
     args: readonly string[],
     rank?: number,
   ): Promise<void> {
-    const own = `${HOST}:${(await freePorts(1))[0]}`;
+    const listenAddress = `${HOST}:${(await freePorts(1))[0]}`;
     const role = serves === '' ? 'entry' : 'sidecar';
     const process = this.startProcess(id, [
       ...[role, '--id', id, '--hall', hall, '--platform', this.platform],
-      ...['--listen', own],
+      ...['--listen', listenAddress],
       ...args,
       ...(role === 'sidecar' ? (this.options.sidecarArgs ?? []) : []),
     ]);
     const isRank = rank !== undefined;
-    const relays = isRank && this.options.relayRanks;
+    const isRelayed = isRank && this.options.relayRanks;
     const instance: Instance = {
       id,
       hall,
       role,
-      address: relays ? await this.openRelay(`peer-${rank}`, own) : own,
+      address: isRelayed
+        ? await this.openRelay(`peer-${rank}`, listenAddress)
+        : listenAddress,
       serves,
       state: 'live',
       group: isRank ? 'group-0' : '',
       rank: rank ?? 0,
     };
-    this.instances.set(id, {instance, listenAddress: own, process});
+    this.instances.set(id, {instance, listenAddress, process});
     await this.setInstanceState(id, 'live');
   }
 
@@ -392,11 +401,11 @@
     return process;
   }
 
-  /** An entry serves once it knows a rank and a key's owner. */
+  /** An entry serves once it knows a rank and a slot owner. */
   private async whenServing(id: string): Promise<void> {
     const {ranks = 2, ledgers = 3} = this.options;
     if (ranks > 0) {
-      await eventually(`${id} streams`, async () => {
+      await eventually(`${id} serves streams`, async () => {
         const stream = this.chat(id, 'alpha', 'warm up', 1);
         await stream.whenEnded();
         return stream.isComplete;
--- a/features/support/http.ts
+++ b/features/support/http.ts
@@ -1,16 +1,21 @@
-/** Small HTTP calls for tests. */
+/**
+ * HTTP and event-stream clients for tests. Each request uses a connection of its own.
+ */
 import * as http from 'node:http';
 import {createParser} from 'eventsource-parser';
 
-/** A whole answer; `cut` where the connection ended before the answer. */
 export interface HttpResponse {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly text: string;
+  /** The connection ended before the response did. */
   readonly isTruncated: boolean;
 }
 
-/** Sends a request; `status` 0 means that no answer came. */
+/**
+ * Resolves with `status` 0 if no response came. `timeoutMs` limits how long the
+ * connection may be idle.
+ */
 export function call(
   address: string,
   method: string,
@@ -20,7 +25,7 @@
   timeoutMs = 20_000,
 ): Promise<HttpResponse> {
   return new Promise(resolve => {
-    const none: HttpResponse = {
+    const noResponse: HttpResponse = {
       status: 0,
       headers: {},
       text: '',
@@ -36,12 +41,12 @@
           text += chunk;
         });
         const settle = () => {
-          const cut = !res.complete;
+          const isTruncated = !res.complete;
           resolve({
             status: res.statusCode ?? 0,
             headers: res.headers,
             text,
-            isTruncated: cut,
+            isTruncated,
           });
         };
         res.on('end', settle);
@@ -50,12 +55,12 @@
       },
     );
     req.setTimeout(timeoutMs, () => req.destroy());
-    req.on('error', () => resolve(none));
+    req.on('error', () => resolve(noResponse));
     req.end(body);
   });
 }
 
-/** A JSON call. */
+/** Throws SyntaxError if the response isn't JSON, also if there is none. */
 export async function callJson<T>(
   address: string,
   method: string,
@@ -63,16 +68,17 @@
   document?: unknown,
 ): Promise<T> {
   const body = document === undefined ? undefined : JSON.stringify(document);
-  const answer = await call(address, method, path, {}, body);
-  return JSON.parse(answer.text) as T;
+  const response = await call(address, method, path, {}, body);
+  return JSON.parse(response.text) as T;
 }
 
-/** A stream of events as a caller sees it. */
+/** Sends a chat completion and collects the events of its response. */
 export class EventStream {
   readonly ids: string[] = [];
   readonly payloads: string[] = [];
+  /** Data of the last `error` event. */
   error: string | undefined;
-  /** What came where no stream did: a refusal. */
+  /** Body of a response whose status isn't 200. */
   body = '';
   status = 0;
   headers: http.IncomingHttpHeaders = {};
@@ -119,12 +125,11 @@
     req.end(body);
   }
 
-  /** True where the stream's own end has come. */
+  /** True once the end marker has been received. */
   get isComplete(): boolean {
     return this.payloads[this.payloads.length - 1] === '[DONE]';
   }
 
-  /** The text of all tokens. */
   get text(): string {
     return this.payloads
       .filter(data => data !== '[DONE]')
@@ -141,21 +146,21 @@
     return this.ended;
   }
 
-  /** Resolves once this many events have come, or the stream has ended. */
+  /** Resolves once `count` events were received or the stream has ended. */
   async whenEvents(count: number): Promise<void> {
     while (this.payloads.length < count) {
-      const next = new Promise<void>(resolve => {
+      const nextEvent = new Promise<void>(resolve => {
         const wake = () => {
           this.listeners.delete(wake);
           resolve();
         };
         this.listeners.add(wake);
       });
-      const isOver = await Promise.race([
-        next.then(() => false),
+      const hasEnded = await Promise.race([
+        nextEvent.then(() => false),
         this.ended.then(() => true),
       ]);
-      if (isOver) {
+      if (hasEnded) {
         return;
       }
     }
--- a/features/support/ports.test.ts
+++ b/features/support/ports.test.ts
@@ -2,15 +2,15 @@
 import * as net from 'node:net';
 import {freePorts} from './ports';
 
-describe('ports of tests', () => {
-  it('are given out once, and lie in one range', async () => {
+describe('freePorts', () => {
+  it('returns distinct ports of one range', async () => {
     const ports = await freePorts(20);
     expect(new Set(ports).size).toBe(20);
     const ranges = new Set(ports.map(port => Math.floor(port / 1_000)));
     expect(ranges.size).toBe(1);
   });
 
-  it('are passed over where somebody listens', async () => {
+  it('skips a port that is in use', async () => {
     const [port] = await freePorts(1);
     const server = net.createServer();
     const taken = port! + 1;
@@ -21,7 +21,7 @@
     server.close();
   });
 
-  it('belong to this file until its end', async () => {
+  it('holds its range until the test file ends', async () => {
     const [port] = await freePorts(1);
     const first = Math.floor(port! / 1_000) * 1_000;
     const code = `require('net').createServer()
--- a/features/support/ports.ts
+++ b/features/support/ports.ts
@@ -1,33 +1,34 @@
-/** Ports for the processes and servers of tests. */
+/**
+ * Allocates loopback ports to the processes and servers of tests. Test files that
+ * run in parallel get disjoint ranges.
+ */
 import * as net from 'node:net';
 
 const HOST = '127.0.0.1';
-/**
- * Ports below the system's range for outgoing connections, each given out
- * once: a port that is let go of before its process listens could otherwise
- * go to a second process, or to a connection.
- */
+// The ranges lie below the ephemeral ports: an outgoing connection can't take a port
+// between its allocation and the start of its process.
 const FIRST_PORT = 11_000;
 const PORTS_PER_RANGE = 1_000;
 const RANGE_COUNT = 21;
-/** The range of this file of tests, once it has one. */
 let range: Promise<PortRange> | undefined;
-// Files of tests share a process, and each loads its modules anew. Benches have
-// no hooks, and hold their range to their end.
+// Jest loads this module once per test file in a shared process, so each file has to
+// release its range. Benches run without Jest and hold theirs until they end.
 if (typeof afterAll === 'function') {
   afterAll(async () => (await range)?.close());
 }
 
-/** Ports that nobody else gets. */
+/**
+ * Returns free ports; each is reused only once the whole range was allocated.
+ * Throws RangeError if all ranges are taken.
+ */
 export async function freePorts(count: number): Promise<number[]> {
   range ??= PortRange.claim();
   return (await range).take(count);
 }
 
 /**
- * Ports that belong to one file of tests, which holds the first one of them to
- * its end. Two runs beside each other took the same ones: 3 of 86
- * failed for an address in use.
+ * A range of ports that one test file owns. Listening on its first port reserves it
+ * against other processes.
  */
 class PortRange {
   private nextOffset = 1;
@@ -38,15 +39,15 @@
   ) {}
 
   static async claim(): Promise<PortRange> {
-    for (let at = 0; at < RANGE_COUNT; at += 1) {
-      const first = FIRST_PORT + at * PORTS_PER_RANGE;
-      const guard = await tryListen(first);
-      if (guard !== undefined) {
-        guard.unref();
-        return new PortRange(first, guard);
+    for (let index = 0; index < RANGE_COUNT; index += 1) {
+      const first = FIRST_PORT + index * PORTS_PER_RANGE;
+      const lock = await tryListen(first);
+      if (lock !== undefined) {
+        lock.unref();
+        return new PortRange(first, lock);
       }
     }
-    throw new RangeError(`all ${RANGE_COUNT} ranges of ports are taken`);
+    throw new RangeError(`all ${RANGE_COUNT} port ranges are taken`);
   }
 
   close(): void {
@@ -68,7 +69,7 @@
   }
 }
 
-/** Undefined where the port is taken. */
+/** Resolves with undefined if the port can't be listened on. */
 function tryListen(port: number): Promise<net.Server | undefined> {
   return new Promise(resolve => {
     const server = net.createServer();
--- a/features/support/process.ts
+++ b/features/support/process.ts
@@ -1,4 +1,7 @@
-/** One real process of the system, started and ended by a test. */
+/**
+ * Starts, signals and ends one process of the system under test, and collects
+ * the events that it logs. Needs a built bundle or binary in dist/.
+ */
 import * as childProcess from 'node:child_process';
 import * as path from 'node:path';
 
@@ -6,7 +9,6 @@
 const BINARY = path.join(process.cwd(), 'dist', 'ferrycleat');
 const KILL_TIMEOUT_MS = 5_000;
 
-/** A logged event. */
 export interface LoggedEvent {
   readonly event: string;
   readonly [field: string]: unknown;
@@ -14,7 +16,7 @@
 
 export class TestProcess {
   readonly events: LoggedEvent[] = [];
-  /** Arguments of the next start, besides the first ones. */
+  /** Arguments added to the constructor's from the next start on. */
   extraArgs: readonly string[] = [];
   private child: childProcess.ChildProcess | undefined;
   private ended: Promise<number | null> | undefined;
@@ -27,18 +29,18 @@
   start(): void {
     const useBinary = process.env['FERRYCLEAT_TEST_BINARY'] === '1';
     const command = useBinary ? BINARY : process.execPath;
-    const own = [...this.args, ...this.extraArgs];
-    const args = useBinary ? own : [BUNDLE, ...own];
+    const processArgs = [...this.args, ...this.extraArgs];
+    const args = useBinary ? processArgs : [BUNDLE, ...processArgs];
     const child = childProcess.spawn(command, args, {
       stdio: ['ignore', 'ignore', 'pipe'],
     });
     this.child = child;
     this.ended = new Promise(resolve => child.once('close', resolve));
-    let rest = '';
+    let partialLine = '';
     child.stderr?.setEncoding('utf8');
     child.stderr?.on('data', (text: string) => {
-      const lines = (rest + text).split('\n');
-      rest = lines.pop() ?? '';
+      const lines = (partialLine + text).split('\n');
+      partialLine = lines.pop() ?? '';
       lines.forEach(line => this.recordLine(line));
     });
   }
@@ -47,12 +49,13 @@
     return this.child !== undefined && this.child.exitCode === null;
   }
 
-  /** Ends it without warning, as a crash would. */
+  /** Simulates a crash with SIGKILL. */
   async kill(): Promise<void> {
     this.child?.kill('SIGKILL');
     await this.ended;
   }
 
+  /** Suspends the process with SIGSTOP. */
   freeze(): void {
     this.child?.kill('SIGSTOP');
   }
@@ -61,13 +64,12 @@
     this.child?.kill('SIGCONT');
   }
 
-  /** Asks for a planned stop; resolves with the exit code. */
+  /** Sends SIGTERM; resolves with the exit code, null after a signal. */
   async stop(): Promise<number | null> {
     this.child?.kill('SIGTERM');
     return (await this.ended) ?? null;
   }
 
-  /** Sends a signal and does not wait. */
   signal(signal: NodeJS.Signals): void {
     this.child?.kill(signal);
   }
@@ -76,7 +78,7 @@
     return this.ended ?? Promise.resolve(null);
   }
 
-  /** Ends it in any state, for the end of a test. */
+  /** Ends the process in any state, also while it is suspended. */
   async destroy(): Promise<void> {
     if (!this.isRunning) {
       return;
--- a/features/support/relay.ts
+++ b/features/support/relay.ts
@@ -1,4 +1,7 @@
-/** A TCP relay between two processes, which a test can cut or stall. */
+/**
+ * A TCP relay between two processes that can cut or stall the traffic and drop
+ * responses. Faults apply to whole relays, not to single connections.
+ */
 import * as net from 'node:net';
 import {splitAddress} from '../../src/http/address';
 
@@ -8,18 +11,18 @@
   private port = 0;
   private isCut = false;
   private isStalled = false;
-  /** Called with each chunk that passes. */
+  /** Called after each chunk is forwarded; `up` is towards the target. */
   onChunk: ((direction: 'up' | 'down', text: string) => void) | undefined;
-  /** Swallows what the target answers. */
+  /** Discards what the target sends. */
   dropResponses = false;
-  /** Bytes carried, by direction. */
+  /** Bytes received by direction, including discarded ones. */
   bytes = {up: 0, down: 0};
 
   constructor(private readonly target: string) {
     this.server = net.createServer(socket => this.accept(socket));
   }
 
-  /** Listens again on the port of before, after a close. */
+  /** Listens on the previous port again after `close`. */
   async reopen(): Promise<void> {
     this.server = net.createServer(socket => this.accept(socket));
     await this.open(this.port);
@@ -32,18 +35,17 @@
     );
   }
 
-  /** Breaks all connections and refuses new ones. */
+  /** Closes all connections, and new ones as they are accepted. */
   cut(): void {
     this.isCut = true;
     this.destroyConnections();
   }
 
-  /** Breaks all connections once. */
   destroyConnections(): void {
     this.sockets.forEach(socket => socket.destroy());
   }
 
-  /** Swallows what is sent, as a network that loses packets would. */
+  /** Stops reading on all connections without closing them. */
   stall(): void {
     this.isStalled = true;
     this.sockets.forEach(socket => socket.pause());
--- a/features/support/site.ts
+++ b/features/support/site.ts
@@ -1,12 +1,10 @@
-/** Configuration that scenarios run with. */
+/** Template, accounts and API keys that scenarios run with. */
 import type {Account, Service, Template} from '../../src/configuration/types';
 import {sha256Hex} from '../../src/requests/headers';
 
-/** API keys of the accounts. */
 export const API_KEYS = {alpha: 'key-of-alpha', beta: 'key-of-beta'} as const;
 export type AccountName = keyof typeof API_KEYS;
 
-/** Headers of an account's calls. */
 export function authHeaders(account: AccountName): Record<string, string> {
   return {
     authorization: `Bearer ${API_KEYS[account]}`,
@@ -14,7 +12,7 @@
   };
 }
 
-/** A template with short terms. */
+/** A template that provides the model `assistant` and the service `ledger`. */
 export function makeTemplate(service: Partial<Service> = {}): Template {
   return {
     kind: 'template',
@@ -37,7 +35,7 @@
     },
     parameters: {
       weight: {default: 1, min: 0.1, max: 10},
-      // Beyond what the load of a scenario makes: a fast machine sends 1,000 a second.
+      // Above the rate of any scenario's load.
       requestsPerSecond: {default: 10_000, min: 1, max: 10_000},
       burst: {default: 10_000, min: 1, max: 10_000},
       concurrent: {default: 1_000, min: 1, max: 10_000},
@@ -58,7 +56,6 @@
   };
 }
 
-/** An account of that template. */
 export function makeAccount(
   id: AccountName,
   parameters: Account['parameters'] = {},
