--- a/features/together.feature
+++ b/features/together.feature
@@ -1,10 +1,10 @@
-Feature: All promises under all failures together
+Feature: All guarantees under combined faults
 
-  Scenario Outline: A seeded schedule of failures over the whole fleet
+  Scenario Outline: Faults drawn from a seed hit a fleet under load
     Given a fleet with two entries, three ranks and three ledgers
-    When failures drawn from seed <seed> hit it for 12 seconds
-    Then every promise held
-    And most of the work was done
+    When faults drawn from seed <seed> are injected for 12 seconds
+    Then every guarantee held
+    And streams and top-ups were completed
 
     Examples:
       | seed |
--- a/features/together.steps.ts
+++ b/features/together.steps.ts
@@ -17,20 +17,20 @@
   });
 
   when(
-    /^failures drawn from seed (\d+) hit it for (\d+)/,
+    /^faults drawn from seed (\d+) are injected for (\d+)/,
     async (seed: string, seconds: string) => {
       random.seed(Number(seed));
       report = await new chaos.ChaosRun(fleet).run(Number(seconds) * 1_000);
     },
   );
 
-  then('every promise held', () => {
+  then('every guarantee held', () => {
     expect(report.violations).toEqual([]);
   });
 
-  then('most of the work was done', () => {
-    // In numbers: a line whose entry is dead tries again at once, so shares
-    // of the tries say how long entries were dead, and not what was done.
+  then('streams and top-ups were completed', () => {
+    // Counts, not shares: a client retries at once while its entry is down, so the
+    // share of failed attempts depends on the downtime.
     expect(report.wholeStreams).toBeGreaterThan(20);
     expect(report.answeredTopUps).toBeGreaterThan(5);
   });
--- a/features/whole-path.steps.ts
+++ b/features/whole-path.steps.ts
@@ -15,19 +15,19 @@
 
   test('Requests and a change of configuration', steps => {
     let stream: testHttp.EventStream;
-    let answers: testHttp.HttpResponse[];
+    let responses: testHttp.HttpResponse[];
     let key: string;
 
     steps.given(/^a platform, an engine group/, async () => {
       fleet = await fleets.Fleet.start();
     });
 
-    steps.when('a caller streams an answer of 20 tokens', async () => {
+    steps.when('a caller streams a response of 20 tokens', async () => {
       stream = fleet.chat('entry-0', 'alpha', 'Why was it held?', 20);
       await stream.whenEnded();
     });
 
-    steps.then(/^the stream is whole/, () => {
+    steps.then(/^the stream is complete/, () => {
       const messages = [{role: 'user', content: 'Why was it held?'}];
       expect(stream.isComplete).toBe(true);
       expect(stream.text).toBe(expectedText(messages, 20));
@@ -36,17 +36,17 @@
     steps.when('a caller looks up a balance', async () => {
       const address = fleet.address('entry-1');
       const headers = site.authHeaders('beta');
-      const answer = await testHttp.call(
+      const response = await testHttp.call(
         address,
         'GET',
         '/ledger/balances/7',
         headers,
       );
-      answers = [answer];
+      responses = [response];
     });
 
-    steps.then("the ledger's answer arrives", () => {
-      expect(JSON.parse(answers[0]!.text)).toEqual({
+    steps.then("the ledger's response is returned", () => {
+      expect(JSON.parse(responses[0]!.text)).toEqual({
         member: '7',
         balance: 125.5,
       });
@@ -54,19 +54,19 @@
 
     steps.when(/^the same top-up is sent twice/, async () => {
       key = await fleet.mintKey('entry-0', 'alpha');
-      answers = await Promise.all([
+      responses = await Promise.all([
         fleet.topUp('entry-0', 'alpha', key),
         fleet.topUp('entry-1', 'alpha', key),
       ]);
     });
 
-    steps.then(/^both answers are the same/, async () => {
-      expect(answers.map(answer => answer.status)).toEqual([201, 201]);
-      expect(answers[0]!.text).toBe(answers[1]!.text);
+    steps.then(/^both responses are the same/, async () => {
+      expect(responses.map(response => response.status)).toEqual([201, 201]);
+      expect(responses[0]!.text).toBe(responses[1]!.text);
       expect((await fleet.runCounts())[key]).toBe(1);
     });
 
-    steps.when('an operator gives an account another API key', async () => {
+    steps.when('an operator adds an API key to an account', async () => {
       const account = site.makeAccount('alpha');
       const applied = await fleet.apply({
         ...account,
@@ -78,15 +78,15 @@
     steps.then(/^the new key is in force/, async () => {
       for (const entry of ['entry-0', 'entry-1']) {
         await fleets.eventually(
-          `the key is known at ${entry}`,
+          `${entry} accepts the new key`,
           async () => {
-            const answer = await testHttp.call(
+            const response = await testHttp.call(
               fleet.address(entry),
               'GET',
               '/ledger/balances/7',
               {authorization: 'Bearer another-key'},
             );
-            return answer.status === 200;
+            return response.status === 200;
           },
           9_000,
         );
