--- a/features/at-most-once.steps.ts
+++ b/features/at-most-once.steps.ts
@@ -1,7 +1,7 @@
 import * as path from 'node:path';
 import * as uuid from 'uuid';
 import {StepDefinitions, autoBindSteps, loadFeature} from 'jest-cucumber';
-import * as app from '../src/claims/rpc-methods';
+import * as claimsRpc from '../src/claims/rpc-methods';
 import * as keys from '../src/claims/keys';
 import {RpcClient} from '../src/rpc/client';
 import * as fleets from './support/fleet';
@@ -20,25 +20,25 @@
 
 afterEach(async () => fleet.close());
 
-/** The sidecar that owns a key. */
+/** Returns the id of the sidecar that owns a key's slot. */
 async function findOwner(text: string): Promise<string> {
   const rpc = new RpcClient();
   const slot = keys.slotOf(keys.parseKey(text)!, SLOTS);
   for (const id of fleet.idsWithPrefix('ledger')) {
-    const table = await rpc.call(fleet.address(id), app.table, {
+    const table = await rpc.call(fleet.address(id), claimsRpc.table, {
       service: 'ledger',
     });
     const cells = table.ok ? table.value.cells : [];
-    const own = cells.find(
+    const ownCell = cells.find(
       line => line.slot === slot && line.cell.owner.targetId === id,
     );
-    if (own !== undefined) {
+    if (ownCell !== undefined) {
       rpc.close();
       return id;
     }
   }
   rpc.close();
-  throw new Error(`nobody owns slot ${slot}`);
+  throw new Error(`no sidecar owns slot ${slot}`);
 }
 
 async function sendCopies(count: number): Promise<void> {
@@ -48,7 +48,7 @@
   }
 }
 
-/** A key whose owner is not this sidecar. */
+/** Mints a key and sends a top-up with it; stores the key if the top-up ran. */
 async function tryNewKey(): Promise<boolean> {
   const minted = await testHttp.call(
     fleet.address('entry-0'),
@@ -58,13 +58,13 @@
     JSON.stringify({service: 'ledger'}),
   );
   const document = JSON.parse(minted.text || '{}') as {keys?: string[]};
-  const fresh = document.keys?.[0];
-  if (fresh === undefined) {
+  const newKey = document.keys?.[0];
+  if (newKey === undefined) {
     return false;
   }
-  const answer = await fleet.topUp('entry-0', 'alpha', fresh);
-  key = answer.status === 201 ? fresh : key;
-  return answer.status === 201;
+  const response = await fleet.topUp('entry-0', 'alpha', newKey);
+  key = response.status === 201 ? newKey : key;
+  return response.status === 201;
 }
 
 const steps: StepDefinitions = ({given, when, then}) => {
@@ -74,10 +74,10 @@
   });
 
   given(
-    /^a running ledger whose cells last (\d+) seconds$/,
-    async (s: string) => {
+    /^a running ledger with ownership terms of (\d+) seconds$/,
+    async (seconds: string) => {
       responses = [];
-      const termMs = Number(s) * 1_000;
+      const termMs = Number(seconds) * 1_000;
       fleet = await fleets.Fleet.start({ranks: 0, service: {termMs}});
     },
   );
@@ -99,7 +99,7 @@
     key = await fleet.mintKey('entry-0', 'alpha');
     owner = await findOwner(key);
     const first = fleet.topUp('entry-0', 'alpha', key);
-    await fleets.eventually('it runs', async () => {
+    await fleets.eventually('the ledger runs it', async () => {
       return ((await fleet.runCounts())[key] ?? 0) > 0;
     });
     await fleet.process(owner).kill();
@@ -107,7 +107,7 @@
     responses = [await first];
   });
 
-  when(/^a top-up's owner is killed for good$/, async () => {
+  when(/^a top-up's owner is killed and not restarted$/, async () => {
     key = await fleet.mintKey('entry-0', 'alpha');
     owner = await findOwner(key);
     await fleet.topUp('entry-0', 'alpha', key);
@@ -131,7 +131,7 @@
     responses = [await pending];
   });
 
-  when(/^the frozen owner wakes/, async () => {
+  when(/^the frozen owner resumes/, async () => {
     fleet.process(owner).thaw();
     await sendCopies(4);
   });
@@ -180,7 +180,7 @@
     const runs = (await fleet.runCounts())[key] ?? 0;
     expect(runs).toBeLessThanOrEqual(1);
     const notRun = responses.filter(
-      answer => answer.headers['ferrycleat-outcome'] === 'not-run',
+      response => response.headers['ferrycleat-outcome'] === 'not-run',
     );
     expect(runs === 1 && notRun.length > 0).toBe(false);
   });
@@ -189,29 +189,39 @@
     expect((await fleet.runCounts())[key]).toBeUndefined();
   });
 
-  then('every copy got the same answer', () => {
-    expect(new Set(responses.map(answer => answer.text)).size).toBe(1);
-    expect(responses.map(answer => answer.status)).toEqual(
+  then('every copy got the same response', () => {
+    expect(new Set(responses.map(response => response.text)).size).toBe(1);
+    expect(responses.map(response => response.status)).toEqual(
       responses.map(() => 201),
     );
   });
 
   then('no copy was told that it did not run', () => {
-    const outcomes = responses.map(a => a.headers['ferrycleat-outcome']);
+    const outcomes = responses.map(
+      response => response.headers['ferrycleat-outcome'],
+    );
     expect(outcomes).not.toContain('not-run');
     expect(outcomes).not.toContain(undefined);
   });
 
-  then(/^every copy since was told "(.*)"$/, (outcome: string) => {
-    const outcomes = responses.map(a => a.headers['ferrycleat-outcome']);
-    expect(outcomes).toEqual(responses.map(() => outcome));
-    expect(responses.every(a => a.headers['retry-after'] !== undefined)).toBe(
-      true,
+  then(/^every later copy got the outcome "(.*)"$/, (outcome: string) => {
+    const outcomes = responses.map(
+      response => response.headers['ferrycleat-outcome'],
     );
+    expect(outcomes).toEqual(responses.map(() => outcome));
+    expect(
+      responses.every(
+        response => response.headers['retry-after'] !== undefined,
+      ),
+    ).toBe(true);
   });
 
   then(/^a new key is served within (\d+) seconds$/, (seconds: string) =>
-    fleets.eventually('a key is served', tryNewKey, Number(seconds) * 1_000),
+    fleets.eventually(
+      'a new key is served',
+      tryNewKey,
+      Number(seconds) * 1_000,
+    ),
   );
 
   then('copies of it run once', async () => {
@@ -220,38 +230,42 @@
   });
 
   then('lookups are answered meanwhile', async () => {
-    const answer = await testHttp.call(
+    const response = await testHttp.call(
       fleet.address('entry-0'),
       'GET',
       '/ledger/balances/7',
       site.authHeaders('alpha'),
     );
-    expect(answer.status).toBe(200);
+    expect(response.status).toBe(200);
   });
 
   then(/^a top-up is refused within (\d+) seconds/, async (n: string) => {
-    const late = uuid.v7();
-    const begunAt = Date.now();
-    const answer = await fleet.topUp('entry-0', 'alpha', late);
-    expect(Date.now() - begunAt).toBeLessThan(Number(n) * 1_000);
-    expect(answer.headers['ferrycleat-outcome']).toBe('unknown');
-    expect(answer.headers['retry-after']).toBeDefined();
-    expect((await fleet.runCounts())[late]).toBeUndefined();
+    const lateKey = uuid.v7();
+    const startedAt = Date.now();
+    const response = await fleet.topUp('entry-0', 'alpha', lateKey);
+    expect(Date.now() - startedAt).toBeLessThan(Number(n) * 1_000);
+    expect(response.headers['ferrycleat-outcome']).toBe('unknown');
+    expect(response.headers['retry-after']).toBeDefined();
+    expect((await fleet.runCounts())[lateKey]).toBeUndefined();
   });
 
   then(
     /^after the outage a new key is served within (\d+)/,
     async (n: string) => {
       await outage;
-      await fleets.eventually('a key is served', tryNewKey, Number(n) * 1_000);
+      await fleets.eventually(
+        'a new key is served',
+        tryNewKey,
+        Number(n) * 1_000,
+      );
     },
   );
 
-  then(/^the answer says "(.*)"$/, (outcome: string) => {
+  then(/^the response has the outcome "(.*)"$/, (outcome: string) => {
     expect(responses[0]!.headers['ferrycleat-outcome']).toBe(outcome);
   });
 
-  then('a copy of the top-up still gets the answer of the first', async () => {
+  then('a copy of the top-up still gets the first response', async () => {
     const copy = await fleet.topUp('entry-1', 'alpha', key);
     expect(copy.status).toBe(201);
     expect(copy.text).toBe(responses[0]!.text);
--- a/features/configuration.steps.ts
+++ b/features/configuration.steps.ts
@@ -23,7 +23,7 @@
   await fleet.close();
 });
 
-/** Reads every process's revision all the time; notes any that falls. */
+/** Polls every process's revision and records each decrease. */
 class RevisionMonitor {
   readonly regressions: string[] = [];
   private readonly latest = new Map<string, number>();
@@ -37,7 +37,7 @@
     clearInterval(this.timer);
   }
 
-  /** A process that starts again has seen nothing yet. */
+  /** Forgets the revision of a restarting process, which may begin with an older one. */
   reset(id: string): void {
     this.latest.delete(id);
   }
@@ -56,7 +56,7 @@
   }
 }
 
-/** The version of alpha's account that a process has in force. */
+/** The version of the account `alpha` that a process has in force. */
 async function revisionOf(id: string): Promise<number | undefined> {
   const answer = await rpc.call(
     fleet.address(id),
@@ -71,9 +71,9 @@
 async function applyBurstChange(base: number, burst: number) {
   const store = new HttpObjectApi(fleet.platform);
   const document = site.makeAccount('alpha', {burst});
-  const end = await edit.applyDocument(store, document, base, `op-${burst}`);
+  const result = await edit.applyDocument(store, document, base, `op-${burst}`);
   store.close();
-  return end;
+  return result;
 }
 
 async function currentVersion(): Promise<number> {
@@ -111,26 +111,29 @@
     );
   });
 
-  when("an operator's change takes effect and its answer is lost", async () => {
-    const base = await currentVersion();
-    await fleet.setFaults(fleet.platform, {loseAnswers: 1});
-    results = [await applyBurstChange(base, 77)];
-  });
+  when(
+    "an operator's change takes effect and its response is lost",
+    async () => {
+      const base = await currentVersion();
+      await fleet.setFaults(fleet.platform, {loseAnswers: 1});
+      results = [await applyBurstChange(base, 77)];
+    },
+  );
 
-  when(/^a change is accepted, one process is told/, async () => {
+  when(/^a change is accepted, one process is notified/, async () => {
     const base = await currentVersion();
     await fleet.setFaults(fleet.platform, {
       hideWatches: true,
       outageAfterWrites: 1,
     });
-    const end = await applyBurstChange(base, 88);
-    if (!end.ok) {
-      throw new Error(JSON.stringify(end.error));
+    const result = await applyBurstChange(base, 88);
+    if (!result.ok) {
+      throw new Error(JSON.stringify(result.error));
     }
-    acceptedVersion = end.value.object.version;
-    const item = {...end.value.object, value: end.value.object.value};
-    const told = await rpc.call(fleet.address('rank-0'), app.push, {item});
-    expect(told.ok).toBe(true);
+    acceptedVersion = result.value.object.version;
+    const item = {...result.value.object, value: result.value.object.value};
+    const pushed = await rpc.call(fleet.address('rank-0'), app.push, {item});
+    expect(pushed.ok).toBe(true);
     setTimeout(() => {
       void fleet
         .setFaults(fleet.platform, {outage: false, hideWatches: false})
@@ -143,11 +146,11 @@
     (id: string) => restartWithPeers(id),
   );
 
-  when(/^a change is in force and the store then answers/, async () => {
+  when(/^a change is in force and the store then returns/, async () => {
     const base = await currentVersion();
-    const end = await applyBurstChange(base, 99);
-    acceptedVersion = end.ok ? end.value.object.version : 0;
-    await fleets.eventually('it is in force', async () => {
+    const result = await applyBurstChange(base, 99);
+    acceptedVersion = result.ok ? result.value.object.version : 0;
+    await fleets.eventually('the change is in force', async () => {
       const all = await Promise.all(fleet.idsWithPrefix('').map(revisionOf));
       return all.every(revision => revision === acceptedVersion);
     });
@@ -156,8 +159,8 @@
 
   when(/^"(.*)" is frozen while a change is accepted/, async (id: string) => {
     fleet.process(id).freeze();
-    const end = await applyBurstChange(await currentVersion(), 66);
-    acceptedVersion = end.ok ? end.value.object.version : 0;
+    const result = await applyBurstChange(await currentVersion(), 66);
+    acceptedVersion = result.ok ? result.value.object.version : 0;
     await fleets.pause(4_000);
     fleet.process(id).thaw();
   });
@@ -167,32 +170,39 @@
     results = [await applyBurstChange(acceptedVersion, 1_000_000)];
   });
 
-  then(/^exactly one change is accepted and (\d+) see/, (losers: string) => {
-    const won = results.flatMap(end => (end.ok ? [end.value] : []));
-    const lost = results.flatMap(end => (end.ok ? [] : [end.error]));
-    expect(won).toHaveLength(1);
-    expect(lost).toHaveLength(Number(losers));
-    for (const error of lost) {
-      expect(error).toMatchObject({
-        kind: 'edit-conflict',
-        theirs: {changeId: won[0]!.changeId},
-        ours: {kind: 'account', id: 'alpha'},
-      });
-    }
-    acceptedVersion = won[0]!.object.version;
-  });
+  then(
+    /^exactly one change is accepted and (\d+) get/,
+    (loserCount: string) => {
+      const winners = results.flatMap(result =>
+        result.ok ? [result.value] : [],
+      );
+      const losers = results.flatMap(result =>
+        result.ok ? [] : [result.error],
+      );
+      expect(winners).toHaveLength(1);
+      expect(losers).toHaveLength(Number(loserCount));
+      for (const error of losers) {
+        expect(error).toMatchObject({
+          kind: 'edit-conflict',
+          theirs: {changeId: winners[0]!.changeId},
+          ours: {kind: 'account', id: 'alpha'},
+        });
+      }
+      acceptedVersion = winners[0]!.object.version;
+    },
+  );
 
   then('the operator is told that it is accepted', () => {
-    const [end] = results;
-    expect(end!.ok).toBe(true);
-    acceptedVersion = end!.ok ? end!.value.object.version : 0;
+    const [result] = results;
+    expect(result!.ok).toBe(true);
+    acceptedVersion = result!.ok ? result!.value.object.version : 0;
   });
 
   then(
     /^the accepted change is in force at every process within (\d+)/,
     (seconds: string) =>
       fleets.eventually(
-        'every process has it in force',
+        'the change is in force at every process',
         async () => {
           const all = await Promise.all(
             fleet.idsWithPrefix('').map(revisionOf),
@@ -203,15 +213,15 @@
       ),
   );
 
-  then('no process ever saw its revision fall', () => {
+  then('no process ever went back to an older revision', () => {
     expect(monitor.regressions).toEqual([]);
   });
 
   then(
     'the change is refused with the bounds and nothing changes',
     async () => {
-      const [end] = results;
-      expect(end!.ok ? null : end!.error).toMatchObject({
+      const [result] = results;
+      expect(result!.ok ? null : result!.error).toMatchObject({
         kind: 'unsound',
         error: {
           kind: 'parameter-out-of-bounds',
--- a/features/leaving.steps.ts
+++ b/features/leaving.steps.ts
@@ -14,7 +14,7 @@
 let departedAt: number;
 let streams: testHttp.EventStream[];
 let exitCode: Promise<number | null>;
-let topUps: {key: string; answer: testHttp.HttpResponse}[];
+let topUps: {key: string; response: testHttp.HttpResponse}[];
 
 afterEach(async () => {
   await load.stop();
@@ -26,19 +26,19 @@
   readonly targetId: string;
   readonly isComplete: boolean;
   readonly status: number;
-  /** Why it was refused or broke off; empty: it didn't. */
+  /** Body of a refusal or data of an error event; empty if there was none. */
   readonly failure: string;
 }
 
-/** Short streams, one after the other, on several lines. */
+/** Sends short streams, one after the other per client. */
 class LoadGenerator {
   readonly samples: Sample[] = [];
   private isRunning = true;
   private clients: Promise<void>[] = [];
 
-  start(entries: readonly string[], lines: number): void {
-    this.clients = Array.from({length: lines}, (_, line) =>
-      this.runClient(entries[line % entries.length]!, line),
+  start(entries: readonly string[], clientCount: number): void {
+    this.clients = Array.from({length: clientCount}, (_, client) =>
+      this.runClient(entries[client % entries.length]!, client),
     );
   }
 
@@ -47,22 +47,22 @@
     await Promise.all(this.clients);
   }
 
-  private async runClient(entry: string, line: number): Promise<void> {
+  private async runClient(entry: string, client: number): Promise<void> {
     for (let turn = 0; this.isRunning; turn += 1) {
-      const at = Date.now();
+      const sentAt = Date.now();
       const stream = fleet.chat(
         entry,
         'beta',
-        `line ${line} turn ${turn}`,
+        `line ${client} turn ${turn}`,
         LOAD_TOKENS,
       );
       await stream.whenEnded();
-      const target = stream.ids[0]?.split('.')[0] ?? '';
-      const {isComplete: isWhole, status, error, body} = stream;
+      const targetId = stream.ids[0]?.split('.')[0] ?? '';
+      const {isComplete, status, error, body} = stream;
       this.samples.push({
-        sentAt: at,
-        targetId: target,
-        isComplete: isWhole,
+        sentAt,
+        targetId,
+        isComplete,
         status,
         failure: error ?? body,
       });
@@ -76,7 +76,7 @@
     load = new LoadGenerator();
     load.start(['entry-1'], 4);
     await fleets.eventually(
-      'every rank works',
+      'every rank serves streams',
       () => new Set(load.samples.map(sample => sample.targetId)).size === 3,
     );
     streams = [];
@@ -129,8 +129,8 @@
   when(
     /^"(.*)" is told to stop while streams of (\d+) tokens/,
     async (id: string, tokens: string) => {
-      streams = Array.from({length: 5}, (_, at) =>
-        fleet.chat(id, 'alpha', `stream ${at}`, Number(tokens)),
+      streams = Array.from({length: 5}, (_, index) =>
+        fleet.chat(id, 'alpha', `stream ${index}`, Number(tokens)),
       );
       await Promise.all(streams.map(stream => stream.whenEvents(2)));
       exitCode = fleet.process(id).stop();
@@ -165,26 +165,30 @@
   });
 
   when(/^"(.*)" is told to stop while top-ups are sent/, async (id: string) => {
-    let running = true;
-    const line = async (entry: string) => {
-      while (running) {
+    let isRunning = true;
+    const runTopUps = async (entry: string) => {
+      while (isRunning) {
         const key = await fleet.mintKey(entry, 'alpha');
-        let answer = await fleet.topUp(entry, 'alpha', key);
-        // As callers are told to: come back with the same key.
-        while (answer.headers['ferrycleat-outcome'] === 'unknown') {
+        let response = await fleet.topUp(entry, 'alpha', key);
+        // A caller has to retry with the same key after an unknown outcome.
+        while (response.headers['ferrycleat-outcome'] === 'unknown') {
           await fleets.pause(200);
-          answer = await fleet.topUp(entry, 'alpha', key);
+          response = await fleet.topUp(entry, 'alpha', key);
         }
-        topUps.push({key, answer});
+        topUps.push({key, response});
       }
     };
-    const lines = [line('entry-0'), line('entry-1'), line('entry-1')];
+    const clients = [
+      runTopUps('entry-0'),
+      runTopUps('entry-1'),
+      runTopUps('entry-1'),
+    ];
     await fleets.pause(500);
     exitCode = fleet.process(id).stop();
     await exitCode;
     await fleets.pause(1_000);
-    running = false;
-    await Promise.all(lines);
+    isRunning = false;
+    await Promise.all(clients);
   });
 
   then(
@@ -201,7 +205,7 @@
     },
   );
 
-  then('the long stream is whole', async () => {
+  then('the long stream is complete', async () => {
     const [stream] = streams;
     await stream!.whenEnded();
     const messages = [{role: 'user', content: 'a long one'}];
@@ -220,45 +224,45 @@
     expect(failed.length).toBeLessThan(load.samples.length / 4);
   });
 
-  then(
-    /^"(.*)" ended by itself with exit code (\d)$/,
-    async (_id: string, code: string) => {
-      expect(await exitCode).toBe(Number(code));
-    },
-  );
+  then(/^"(.*)" exited with code (\d)$/, async (_id: string, code: string) => {
+    expect(await exitCode).toBe(Number(code));
+  });
 
-  then('every stream through it is whole', async () => {
+  then('every stream through it is complete', async () => {
     await Promise.all(streams.map(stream => stream.whenEnded()));
-    streams.forEach((stream, at) => {
-      const messages = [{role: 'user', content: `stream ${at}`}];
+    streams.forEach((stream, index) => {
+      const messages = [{role: 'user', content: `stream ${index}`}];
       expect(stream.text).toBe(expectedText(messages, 300));
       expect(stream.isComplete).toBe(true);
     });
   });
 
-  then("the group's steps go on and none was mixed", async () => {
-    const read = () =>
-      testHttp.callJson<{steps: number; mixedSteps: number}>(
-        fleet.engine[0]!,
-        'GET',
-        '/standin/steps',
-      );
-    const before = await read();
-    await fleets.eventually('steps go on', async () => {
-      return (await read()).steps > before.steps + 10;
-    });
-    expect((await read()).mixedSteps).toBe(0);
-  });
+  then(
+    'the group continues and no step ran with more than one map version',
+    async () => {
+      const read = () =>
+        testHttp.callJson<{steps: number; mixedSteps: number}>(
+          fleet.engine[0]!,
+          'GET',
+          '/standin/steps',
+        );
+      const before = await read();
+      await fleets.eventually('the group runs more steps', async () => {
+        return (await read()).steps > before.steps + 10;
+      });
+      expect((await read()).mixedSteps).toBe(0);
+    },
+  );
 
-  then('every top-up got its answer and ran once', async () => {
+  then('every top-up got its response and ran once', async () => {
     const runs = await fleet.runCounts();
     expect(topUps.length).toBeGreaterThan(20);
-    const bad = topUps.filter(
-      ({key, answer}) => answer.status !== 201 || runs[key] !== 1,
+    const failed = topUps.filter(
+      ({key, response}) => response.status !== 201 || runs[key] !== 1,
     );
     expect(
-      bad.map(
-        ({key, answer}) => `${answer.status} ${answer.text} ${runs[key]}`,
+      failed.map(
+        ({key, response}) => `${response.status} ${response.text} ${runs[key]}`,
       ),
     ).toEqual([]);
   });
--- a/features/not-run.steps.ts
+++ b/features/not-run.steps.ts
@@ -23,9 +23,9 @@
   entry: string,
   extra: Record<string, string> = {},
 ): Promise<SentTopUp> {
-  const begunAt = Date.now();
-  const answer = await fleet.topUp(entry, 'alpha', key, 10, extra);
-  return {key, response: answer, tookMs: Date.now() - begunAt};
+  const startedAt = Date.now();
+  const response = await fleet.topUp(entry, 'alpha', key, 10, extra);
+  return {key, response, tookMs: Date.now() - startedAt};
 }
 
 async function mintKeys(count: number): Promise<string[]> {
@@ -38,7 +38,7 @@
 
 function notRunTopUps(): SentTopUp[] {
   return sent.filter(
-    one => one.response.headers['ferrycleat-outcome'] === 'not-run',
+    topUp => topUp.response.headers['ferrycleat-outcome'] === 'not-run',
   );
 }
 
@@ -59,12 +59,12 @@
     await fleet.setFaults(fleet.ledger, {runMs: Number(ms)});
   });
 
-  given(/^an account that may send (\d+) requests a second$/, async n => {
+  given(/^an account that may send (\d+) requests a second$/, async rate => {
     fleet = await fleets.Fleet.start({ranks: 0});
     await fleet.apply(
       site.makeAccount('alpha', {
-        requestsPerSecond: Number(n),
-        burst: Number(n),
+        requestsPerSecond: Number(rate),
+        burst: Number(rate),
       }),
     );
     await fleets.pause(500);
@@ -77,7 +77,7 @@
     }
   });
 
-  given('a ledger that runs and then loses its answers', async () => {
+  given('a ledger that runs top-ups and loses its responses', async () => {
     fleet = await fleets.Fleet.start({ranks: 0});
     await fleet.setFaults(fleet.ledger, {loseAnswers: 3});
   });
@@ -85,11 +85,11 @@
   when(/^(\d+) top-ups with keys of their own/, async (count: string) => {
     const keys = await mintKeys(Number(count));
     sent = await Promise.all(
-      keys.map((key, at) => send(key, `entry-${at % 2}`)),
+      keys.map((key, index) => send(key, `entry-${index % 2}`)),
     );
   });
 
-  when(/^top-ups with (\d+) ms to go/, async (ms: string) => {
+  when(/^top-ups with a timeout of (\d+) ms/, async (ms: string) => {
     const keys = await mintKeys(5);
     const first = send(keys[0]!, 'entry-0');
     await fleets.pause(60);
@@ -108,7 +108,7 @@
     const before = fleet.process(id).count('FC4003');
     fleet.process(id).start();
     await fleets.eventually(
-      `${id} answers`,
+      `${id} accepts requests`,
       () => fleet.process(id).count('FC4003') > before,
     );
   });
@@ -116,29 +116,33 @@
   then(/^a copy of it through "(.*)" is not told "not-run"$/, async id => {
     const entry = id.startsWith('entry') ? id : 'entry-1';
     const copies = await Promise.all(
-      sent.map(one => send(one.key, entry, {'ferrycleat-timeout-ms': '3000'})),
+      sent.map(topUp =>
+        send(topUp.key, entry, {'ferrycleat-timeout-ms': '3000'}),
+      ),
+    );
+    const outcomes = copies.map(
+      copy => copy.response.headers['ferrycleat-outcome'],
     );
-    const outcomes = copies.map(c => c.response.headers['ferrycleat-outcome']);
     expect(outcomes).not.toContain('not-run');
   });
 
   when('a top-up without a key is sent', async () => {
-    const answer = await testHttp.call(
+    const response = await testHttp.call(
       fleet.address('entry-0'),
       'POST',
       '/ledger/top-ups',
       site.authHeaders('alpha'),
       JSON.stringify({phone: '1', amount: 1}),
     );
-    sent = [{key: '', response: answer, tookMs: 0}];
+    sent = [{key: '', response, tookMs: 0}];
   });
 
   then(/^some are told "not-run" at once/, () => {
-    const told = notRunTopUps();
-    expect(told.length).toBeGreaterThan(0);
-    for (const one of told) {
-      expect(one.tookMs).toBeLessThan(MAX_REFUSAL_MS);
-      expect(one.response.headers['retry-after']).toBeDefined();
+    const refused = notRunTopUps();
+    expect(refused.length).toBeGreaterThan(0);
+    for (const topUp of refused) {
+      expect(topUp.tookMs).toBeLessThan(MAX_REFUSAL_MS);
+      expect(topUp.response.headers['retry-after']).toBeDefined();
     }
   });
 
@@ -148,19 +152,19 @@
 
   then('copies of these sent later do not run either', async () => {
     await fleets.pause(1_500);
-    await resend(notRunTopUps().map(one => one.key));
+    await resend(notRunTopUps().map(topUp => topUp.key));
   });
 
   then(/^after the targets are back/, async () => {
     for (const relay of fleet.relays.values()) {
       await relay.reopen();
     }
-    await resend(sent.map(one => one.key));
+    await resend(sent.map(topUp => topUp.key));
   });
 
   then('no key told "not-run" was ever run', async () => {
     const runs = await fleet.runCounts();
-    const ran = notRunTopUps().filter(one => runs[one.key] !== undefined);
+    const ran = notRunTopUps().filter(topUp => runs[topUp.key] !== undefined);
     expect(ran).toEqual([]);
   });
 
@@ -169,14 +173,14 @@
   });
 
   then('each of them ran once, also after copies', async () => {
-    await resend(sent.map(one => one.key));
+    await resend(sent.map(topUp => topUp.key));
     const runs = await fleet.runCounts();
-    expect(sent.map(one => runs[one.key])).toEqual(sent.map(() => 1));
+    expect(sent.map(topUp => runs[topUp.key])).toEqual(sent.map(() => 1));
   });
 
   then(/^it is refused as "(.*)" and nothing ran$/, async (kind: string) => {
-    const [one] = sent;
-    expect(one!.response.headers['ferrycleat-refusal']).toBe(kind);
+    const [topUp] = sent;
+    expect(topUp!.response.headers['ferrycleat-refusal']).toBe(kind);
     expect(await fleet.runCounts()).toEqual({});
   });
 };
--- a/features/one-map.steps.ts
+++ b/features/one-map.steps.ts
@@ -11,7 +11,7 @@
 const EXPERTS = 16;
 const LAYERS = 2;
 
-/** What the engine stand-in has recorded. */
+/** The step counters of the engine stand-in. */
 interface StepReport {
   readonly steps: number;
   readonly mixedSteps: number;
@@ -37,7 +37,7 @@
 
 let changeCount = 0;
 
-/** Asks a rank's sidecar to lead a change to some other map. */
+/** Asks a rank's sidecar to lead a change to a map that differs from the last one. */
 function proposeChange(rank: number) {
   changeCount += 1;
   const layers = Array.from({length: LAYERS}, () =>
@@ -49,12 +49,12 @@
   return rpc.call(address, app.propose, {layers}, 20_000);
 }
 
-/** Acts once the leader's nth order of a name has passed the relays. */
-function onMethodCall(name: string, nth: number, act: () => void): void {
+/** Calls `act` once the leader's nth request of an RPC method has passed the relays. */
+function onMethodCall(method: string, nth: number, act: () => void): void {
   let seen = 0;
   for (let rank = 1; rank < RANKS; rank += 1) {
     fleet.relays.get(`peer-${rank}`)!.onChunk = (direction, text) => {
-      if (direction === 'up' && text.includes(`"${name}"`)) {
+      if (direction === 'up' && text.includes(`"${method}"`)) {
         seen += 1;
         if (seen === nth) {
           act();
@@ -83,27 +83,27 @@
   });
 
   given('the platform is down', async () => {
-    // The leader takes its lease first: it may lead, and cannot ask again.
+    // One write is allowed: the leader obtains its lease and then loses the store.
     await fleets.pause(0);
     await fleet.setFaults(fleet.platform, {outageAfterWrites: 1});
   });
 
   when(/^the leader changes the map (\d+) times$/, async (times: string) => {
-    for (let at = 0; at < Number(times); at += 1) {
-      const end = await proposeChange(0);
-      expect(end).toEqual({ok: true, value: {end: 'committed'}});
-      await fleets.eventually('the new map is run', async () => {
+    for (let index = 0; index < Number(times); index += 1) {
+      const result = await proposeChange(0);
+      expect(result).toEqual({ok: true, value: {end: 'committed'}});
+      await fleets.eventually('the new map is in use', async () => {
         const now = await readSteps();
-        return now.records.length === at + 2;
+        return now.records.length === index + 2;
       });
     }
   });
 
   when(
-    /^the leader is killed after its (\d+) "(.*)" of a change$/,
-    async (nth: string, order: string) => {
+    /^the leader is killed after request (\d+) of "(.*)" in a change$/,
+    async (nth: string, method: string) => {
       const killed = new Promise<void>(resolve =>
-        onMethodCall(order, Number(nth), () => {
+        onMethodCall(method, Number(nth), () => {
           void fleet.process('rank-0').kill().then(resolve);
         }),
       );
@@ -115,10 +115,10 @@
   );
 
   when(
-    /^the leader is frozen after its (\d+) "(.*)" of a change$/,
-    async (nth: string, order: string) => {
+    /^the leader is frozen after request (\d+) of "(.*)" in a change$/,
+    async (nth: string, method: string) => {
       const frozen = new Promise<void>(resolve =>
-        onMethodCall(order, Number(nth), () => {
+        onMethodCall(method, Number(nth), () => {
           fleet.process('rank-0').freeze();
           resolve();
         }),
@@ -129,32 +129,35 @@
     },
   );
 
-  when('another rank leads a change of its own', async () => {
+  when('another rank leads a change', async () => {
     await Promise.race([proposeChange(1), fleets.pause(2_000)]);
   });
 
-  when('the frozen leader wakes', async () => {
+  when('the frozen leader resumes', async () => {
     fleet.process('rank-0').thaw();
     await fleets.pause(500);
   });
 
-  when(/^rank (\d) is cut off from the leader after/, async (rank: string) => {
-    const relay = fleet.relays.get(`peer-${rank}`)!;
-    relay.onChunk = (direction, text) => {
-      if (direction === 'down' && text.includes('"armed"')) {
-        relay.cut();
-        setTimeout(() => relay.restore(), 1_500);
-      }
-    };
-    await proposeChange(0);
-  });
+  when(
+    /^rank (\d) is disconnected from the leader after/,
+    async (rank: string) => {
+      const relay = fleet.relays.get(`peer-${rank}`)!;
+      relay.onChunk = (direction, text) => {
+        if (direction === 'down' && text.includes('"armed"')) {
+          relay.cut();
+          setTimeout(() => relay.restore(), 1_500);
+        }
+      };
+      await proposeChange(0);
+    },
+  );
 
   when(
-    /^the answers of rank (\d) to "(.*)" are lost/,
-    async (rank: string, order: string) => {
+    /^the responses of rank (\d) to "(.*)" are lost/,
+    async (rank: string, method: string) => {
       const relay = fleet.relays.get(`peer-${rank}`)!;
       relay.onChunk = (direction, text) => {
-        if (direction === 'up' && text.includes(`"${order}"`)) {
+        if (direction === 'up' && text.includes(`"${method}"`)) {
           relay.dropResponses = true;
         }
       };
@@ -167,8 +170,8 @@
     },
   );
 
-  when(/^ranks 0 and 1 lead changes .* (\d+) times$/, async (n: string) => {
-    for (let at = 0; at < Number(n); at += 1) {
+  when(/^ranks 0 and 1 lead changes .* (\d+) times$/, async (count: string) => {
+    for (let index = 0; index < Number(count); index += 1) {
       await Promise.all([proposeChange(0), proposeChange(1)]);
     }
   });
@@ -181,9 +184,9 @@
 
   when(
     /^rank (\d)'s sidecar is killed after it has armed/,
-    async (r: string) => {
-      const id = `rank-${r}`;
-      const relay = fleet.relays.get(`peer-${r}`)!;
+    async (rank: string) => {
+      const id = `rank-${rank}`;
+      const relay = fleet.relays.get(`peer-${rank}`)!;
       const killed = new Promise<void>(resolve => {
         relay.onChunk = (direction, text) => {
           if (direction === 'down' && text.includes('"armed"')) {
@@ -198,34 +201,34 @@
     },
   );
 
-  then(/^all ranks run the last map$/, async () => {
-    await fleets.eventually('five changes were run', async () => {
+  then(/^all ranks use the last map$/, async () => {
+    await fleets.eventually('five map changes are in use', async () => {
       const now = await readSteps();
       return now.records.length === 6;
     });
   });
 
-  then('no step was mixed', async () => {
+  then('no step ran with more than one map version', async () => {
     const now = await readSteps();
     expect(now.mixedSteps).toBe(0);
   });
 
   then(
-    /^the group waited for at most (\d+) of its steps$/,
-    async (n: string) => {
+    /^the group was blocked for at most (\d+) of its steps$/,
+    async (count: string) => {
       const now = await readSteps();
       const stepMs = 5;
-      expect(now.blockedMs).toBeLessThanOrEqual(Number(n) * stepMs);
+      expect(now.blockedMs).toBeLessThanOrEqual(Number(count) * stepMs);
     },
   );
 
-  then(/^the group runs on within (\d+) seconds/, async (seconds: string) => {
-    const atOnce = await readSteps();
+  then(/^the group continues within (\d+) seconds/, async (seconds: string) => {
+    const earlier = await readSteps();
     await fleets.eventually(
-      'steps go on and no rank is held',
+      'steps continue and no rank is held',
       async () => {
         const now = await readSteps();
-        const answers = await Promise.all(
+        const ranks = await Promise.all(
           fleet.engine.map(address =>
             testHttp.callJson<{hold: unknown; version: number | null}>(
               address,
@@ -234,10 +237,10 @@
             ),
           ),
         );
-        const versions = new Set(answers.map(answer => answer.version));
+        const versions = new Set(ranks.map(rank => rank.version));
         return (
-          now.steps > Math.max(atOnce.steps, baseline.steps) + 10 &&
-          answers.every(answer => answer.hold === null) &&
+          now.steps > Math.max(earlier.steps, baseline.steps) + 10 &&
+          ranks.every(rank => rank.hold === null) &&
           versions.size === 1 &&
           !versions.has(null)
         );
--- a/features/streams.steps.ts
+++ b/features/streams.steps.ts
@@ -43,7 +43,7 @@
   }
 }
 
-/** The target's name in an event's id. */
+/** The target id that prefixes a stream's event ids. */
 function targetIdOf(stream: testHttp.EventStream): string {
   return stream.ids[0]!.split('.')[0]!;
 }
@@ -56,9 +56,9 @@
 
   when(
     /^the engine cuts a stream of (\d+) tokens after (\d+)/,
-    async (n, at) => {
-      await setEngineFaults({cutAfter: Number(at)});
-      await openStream('entry-0', 'cut me', Number(n)).whenEnded();
+    async (tokens, events) => {
+      await setEngineFaults({cutAfter: Number(events)});
+      await openStream('entry-0', 'cut me', Number(tokens)).whenEnded();
     },
   );
 
@@ -66,17 +66,17 @@
     await setEngineFaults(fault === 'late' ? {lateMs: 300} : {[fault]: true});
   });
 
-  when(/^(\d+) callers stream answers of (\d+) tokens/, (count, tokens) => {
+  when(/^(\d+) callers stream responses of (\d+) tokens/, (count, tokens) => {
     for (let caller = 0; caller < Number(count); caller += 1) {
       openStream(`entry-${caller % 2}`, `prompt ${caller}`, Number(tokens));
     }
   });
 
-  when("every rank's answers name another request", () =>
+  when("every rank's responses name another request", () =>
     setEngineFaults({foreign: true}),
   );
 
-  when(/^a caller streams an answer of (\d+) tokens$/, async tokens => {
+  when(/^a caller streams a response of (\d+) tokens$/, async tokens => {
     await openStream('entry-0', 'whose is it?', Number(tokens)).whenEnded();
   });
 
@@ -91,19 +91,19 @@
     },
   );
 
-  when(/^the caller goes on through the other entry/, async () => {
+  when(/^the caller reconnects through the other entry/, async () => {
     const [first] = streams;
-    const last = first!.stream.ids[first!.stream.ids.length - 1]!;
-    const rest = fleet.reconnect('entry-1', 'alpha', last);
-    streams.push({...first!, stream: rest});
-    await rest.whenEnded();
+    const lastId = first!.stream.ids[first!.stream.ids.length - 1]!;
+    const resumed = fleet.reconnect('entry-1', 'alpha', lastId);
+    streams.push({...first!, stream: resumed});
+    await resumed.whenEnded();
   });
 
   when(/^another account asks for the rest/, async () => {
     const stream = openStream('entry-0', 'mine alone', 60);
     await stream.whenEvents(5);
-    const last = stream.ids[stream.ids.length - 1]!;
-    const other = fleet.reconnect('entry-1', 'beta', last);
+    const lastId = stream.ids[stream.ids.length - 1]!;
+    const other = fleet.reconnect('entry-1', 'beta', lastId);
     await other.whenEnded();
     streams = [{stream: other, content: '', tokens: 0}];
   });
@@ -119,12 +119,15 @@
     },
   );
 
-  when(/^the engine is killed after (\d+) of (\d+) tokens$/, async (at, n) => {
-    const stream = openStream('entry-0', 'lost', Number(n));
-    await stream.whenEvents(Number(at));
-    await fleet.process('engine').kill();
-    await stream.whenEnded();
-  });
+  when(
+    /^the engine is killed after (\d+) of (\d+) tokens$/,
+    async (events, tokens) => {
+      const stream = openStream('entry-0', 'lost', Number(tokens));
+      await stream.whenEvents(Number(events));
+      await fleet.process('engine').kill();
+      await stream.whenEnded();
+    },
+  );
 
   when('two callers send the same request id at once', () => {
     const id = '01890a5d-ac96-774b-bcce-b302099a8057';
@@ -132,41 +135,44 @@
     openStream('entry-1', 'second caller', 30, {'ferrycleat-request': id});
   });
 
-  when('the engine is killed while it writes a whole answer', async () => {
-    const pending = testHttp.call(
-      fleet.address('entry-0'),
-      'POST',
-      '/v1/chat/completions',
-      site.authHeaders('alpha'),
-      JSON.stringify({
-        model: 'assistant',
-        max_tokens: 400,
-        messages: [{role: 'user', content: 'all at once'}],
-      }),
-    );
-    await fleets.pause(300);
-    await fleet.process('engine').kill();
-    response = await pending;
-  });
+  when(
+    'the engine is killed while it writes a non-streaming response',
+    async () => {
+      const pending = testHttp.call(
+        fleet.address('entry-0'),
+        'POST',
+        '/v1/chat/completions',
+        site.authHeaders('alpha'),
+        JSON.stringify({
+          model: 'assistant',
+          max_tokens: 400,
+          messages: [{role: 'user', content: 'all at once'}],
+        }),
+      );
+      await fleets.pause(300);
+      await fleet.process('engine').kill();
+      response = await pending;
+    },
+  );
 
-  when(/^a caller goes away after (\d+) of (\d+)/, async (at, tokens) => {
+  when(/^a caller disconnects after (\d+) of (\d+)/, async (events, tokens) => {
     const stream = openStream('entry-0', 'never mind', Number(tokens));
-    await stream.whenEvents(Number(at));
+    await stream.whenEvents(Number(events));
     stream.close();
   });
 
-  then(/^(?:the|every) caller has the whole answer/, () =>
+  then(/^(?:the|every) caller gets the complete response/, () =>
     expectCompleteStreams(),
   );
 
-  then('the caller got a typed refusal and no token', () => {
+  then('the caller gets a typed refusal and no token', () => {
     const [{stream}] = streams as [(typeof streams)[0]];
     expect(stream.status).toBe(502);
     expect(stream.headers['ferrycleat-refusal']).toBe('target-failed');
     expect(stream.payloads).toEqual([]);
   });
 
-  then('the two parts are the whole answer to its own prompt', () => {
+  then('the two parts form the complete response to its own prompt', () => {
     const {status, error, body} = streams[1]!.stream;
     expect({status, error, body}).toEqual({
       status: 200,
@@ -184,7 +190,7 @@
     expect(stream.payloads).toEqual([]);
   });
 
-  then("the caller's stream ends with a typed error and no end mark", () => {
+  then("the caller's stream ends with a typed error and no end marker", () => {
     const [{stream, content}] = streams as [(typeof streams)[0]];
     expect(stream.isComplete).toBe(false);
     expect(JSON.parse(stream.error ?? '{}')).toMatchObject({
@@ -194,7 +200,7 @@
     expect(textFor(content, 400).startsWith(stream.text)).toBe(true);
   });
 
-  then('the caller can see that the answer is not whole', () => {
+  then('the caller can tell that the response is incomplete', () => {
     const isRefused = response.status >= 500;
     expect(isRefused || response.isTruncated).toBe(true);
     expect(response.headers['ferrycleat-outcome']).not.toBe('not-run');
@@ -202,9 +208,9 @@
 
   then(/^the engine's work for it is cancelled within (\d+)/, async seconds => {
     await fleets.eventually(
-      'the stream is cancelled',
+      'the engine has cancelled the stream',
       async () => {
-        const seen = await Promise.all(
+        const reports = await Promise.all(
           fleet.engine.map(address =>
             testHttp.callJson<{cancelled: number}>(
               address,
@@ -213,7 +219,7 @@
             ),
           ),
         );
-        return seen.some(rank => rank.cancelled === 1);
+        return reports.some(rank => rank.cancelled === 1);
       },
       Number(seconds) * 1_000,
     );
