--- a/features/configuration.steps.ts
+++ b/features/configuration.steps.ts
@@ -170,27 +170,20 @@
     results = [await applyBurstChange(acceptedVersion, 1_000_000)];
   });
 
-  then(
-    /^exactly one change is accepted and (\d+) get/,
-    (loserCount: string) => {
-      const winners = results.flatMap(result =>
-        result.ok ? [result.value] : [],
-      );
-      const losers = results.flatMap(result =>
-        result.ok ? [] : [result.error],
-      );
-      expect(winners).toHaveLength(1);
-      expect(losers).toHaveLength(Number(loserCount));
-      for (const error of losers) {
-        expect(error).toMatchObject({
-          kind: 'edit-conflict',
-          theirs: {changeId: winners[0]!.changeId},
-          ours: {kind: 'account', id: 'alpha'},
-        });
-      }
-      acceptedVersion = winners[0]!.object.version;
-    },
-  );
+  then(/^exactly one change is accepted and (\d+) get/, (losers: string) => {
+    const won = results.flatMap(result => (result.ok ? [result.value] : []));
+    const lost = results.flatMap(result => (result.ok ? [] : [result.error]));
+    expect(won).toHaveLength(1);
+    expect(lost).toHaveLength(Number(losers));
+    for (const error of lost) {
+      expect(error).toMatchObject({
+        kind: 'edit-conflict',
+        theirs: {changeId: won[0]!.changeId},
+        ours: {kind: 'account', id: 'alpha'},
+      });
+    }
+    acceptedVersion = won[0]!.object.version;
+  });
 
   then('the operator is told that it is accepted', () => {
     const [result] = results;
