--- a/features/at-most-once.steps.ts
+++ b/features/at-most-once.steps.ts
@@ -140,16 +140,19 @@
     sendCopies(Number(count)),
   );
 
-  when(/^all owners restart while the store loses (\d+)/, async (n: string) => {
-    await fleet.setFaults(fleet.platform, {loseAnswers: Number(n)});
-    const ids = fleet.idsWithPrefix('ledger');
-    await Promise.all(
-      ids.map(async id => {
-        await fleet.process(id).kill();
-        await fleet.restart(id);
-      }),
-    );
-  });
+  when(
+    /^all owners restart while the store loses (\d+)/,
+    async (count: string) => {
+      await fleet.setFaults(fleet.platform, {loseAnswers: Number(count)});
+      const ids = fleet.idsWithPrefix('ledger');
+      await Promise.all(
+        ids.map(async id => {
+          await fleet.process(id).kill();
+          await fleet.restart(id);
+        }),
+      );
+    },
+  );
 
   when(/^the store is down for (\d+) seconds$/, async (seconds: string) => {
     key = await fleet.mintKey('entry-0', 'alpha');
@@ -160,10 +163,13 @@
     await fleets.pause(2_500);
   });
 
-  when(/^a caller whose clock is (-?\d+) minutes off/, async (n: string) => {
-    key = uuid.v7({msecs: Date.now() + Number(n) * MINUTE_MS});
-    responses = [await fleet.topUp('entry-0', 'alpha', key)];
-  });
+  when(
+    /^a caller whose clock is (-?\d+) minutes off/,
+    async (minutes: string) => {
+      key = uuid.v7({msecs: Date.now() + Number(minutes) * MINUTE_MS});
+      responses = [await fleet.topUp('entry-0', 'alpha', key)];
+    },
+  );
 
   when(/^a top-up has run and its owner stops as planned$/, async () => {
     key = await fleet.mintKey('entry-0', 'alpha');
@@ -239,11 +245,11 @@
     expect(response.status).toBe(200);
   });
 
-  then(/^a top-up is refused within (\d+) seconds/, async (n: string) => {
+  then(/^a top-up is refused within (\d+) seconds/, async (seconds: string) => {
     const lateKey = uuid.v7();
     const startedAt = Date.now();
     const response = await fleet.topUp('entry-0', 'alpha', lateKey);
-    expect(Date.now() - startedAt).toBeLessThan(Number(n) * 1_000);
+    expect(Date.now() - startedAt).toBeLessThan(Number(seconds) * 1_000);
     expect(response.headers['ferrycleat-outcome']).toBe('unknown');
     expect(response.headers['retry-after']).toBeDefined();
     expect((await fleet.runCounts())[lateKey]).toBeUndefined();
@@ -251,12 +257,12 @@
 
   then(
     /^after the outage a new key is served within (\d+)/,
-    async (n: string) => {
+    async (seconds: string) => {
       await outage;
       await fleets.eventually(
         'a new key is served',
         tryNewKey,
-        Number(n) * 1_000,
+        Number(seconds) * 1_000,
       );
     },
   );
--- a/features/configuration.steps.ts
+++ b/features/configuration.steps.ts
@@ -105,8 +105,8 @@
   when(/^(\d+) operators change the same account/, async (count: string) => {
     const base = await currentVersion();
     results = await Promise.all(
-      Array.from({length: Number(count)}, (_, at) =>
-        applyBurstChange(base, 50 + at),
+      Array.from({length: Number(count)}, (_, index) =>
+        applyBurstChange(base, 50 + index),
       ),
     );
   });
--- a/features/leaving.steps.ts
+++ b/features/leaving.steps.ts
@@ -217,12 +217,17 @@
     expect(load.samples.filter(sample => !sample.isComplete)).toEqual([]);
   });
 
-  then(/^no request of the load failed for longer than (\d+)/, (n: string) => {
-    const failed = load.samples.filter(sample => !sample.isComplete);
-    const late = failed.filter(s => s.sentAt > departedAt + Number(n) * 1_000);
-    expect(late).toEqual([]);
-    expect(failed.length).toBeLessThan(load.samples.length / 4);
-  });
+  then(
+    /^no request of the load failed for longer than (\d+)/,
+    (seconds: string) => {
+      const failed = load.samples.filter(sample => !sample.isComplete);
+      const late = failed.filter(
+        sample => sample.sentAt > departedAt + Number(seconds) * 1_000,
+      );
+      expect(late).toEqual([]);
+      expect(failed.length).toBeLessThan(load.samples.length / 4);
+    },
+  );
 
   then(/^"(.*)" exited with code (\d)$/, async (_id: string, code: string) => {
     expect(await exitCode).toBe(Number(code));
--- a/features/streams.feature
+++ b/features/streams.feature
@@ -31,7 +31,7 @@
 
   Scenario: Another account cannot resume a stream
     Given a running model with two entries
-    When another account asks for the rest of a stream by its event id
+    When another account reconnects with an event id of the stream
     Then it is refused and gets no token
 
   Scenario: The sidecar is killed in the middle of a stream
--- a/features/streams.steps.ts
+++ b/features/streams.steps.ts
@@ -99,7 +99,7 @@
     await resumed.whenEnded();
   });
 
-  when(/^another account asks for the rest/, async () => {
+  when(/^another account reconnects/, async () => {
     const stream = openStream('entry-0', 'mine alone', 60);
     await stream.whenEvents(5);
     const lastId = stream.ids[stream.ids.length - 1]!;
--- a/features/support/fleet.ts
+++ b/features/support/fleet.ts
@@ -224,7 +224,7 @@
     return new testHttp.EventStream(this.address(entry), headers, undefined);
   }
 
-  /** Mints a request key for the ledger; retries until an entry does so. */
+  /** Mints a request key for the ledger; retries while the entry returns none. */
   async mintKey(entry: string, account: site.AccountName): Promise<string> {
     let key: string | undefined;
     await eventually('a key has been minted', async () => {
@@ -314,7 +314,7 @@
     for (;;) {
       const ports = await freePorts(count);
       const first = ports[0] ?? 0;
-      if (ports.every((port, at) => port === first + at)) {
+      if (ports.every((port, index) => port === first + index)) {
         return first;
       }
     }
