--- a/bench/fake-engines.ts
+++ b/bench/fake-engines.ts
@@ -154,7 +154,7 @@
 
 /** Draws a request of any account. */
 export function drawRequest(now: number, timeoutMs: number): FakeRequest {
-  let left = random.unit();
+  let left = random.uniform();
   const account =
     ACCOUNTS.find(one => {
       left -= one.share;
@@ -169,17 +169,17 @@
   now: number,
   timeoutMs: number,
 ): FakeRequest {
-  const popular = Math.floor(random.unit() ** 2 * PREFIXES_PER_ACCOUNT);
+  const popular = Math.floor(random.uniform() ** 2 * PREFIXES_PER_ACCOUNT);
   return {
     account,
     prefix: `${account}/${popular}`,
     prefixTokens: 1_500,
-    ownTokens: 100 + random.below(300),
-    outputTokens: 20 + random.below(80),
+    ownTokens: 100 + random.integerBelow(300),
+    outputTokens: 20 + random.integerBelow(80),
     arrivedAt: now,
     deadlineAt: now + timeoutMs,
     prefillLeft: 1_500,
-    outputLeft: 20 + random.below(80),
+    outputLeft: 20 + random.integerBelow(80),
     hitTokens: 0,
     firstTokenAt: 0,
     endedAt: 0,
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -44,7 +44,7 @@
   const left = [...list];
   const drawn: Instance[] = [];
   while (drawn.length < SUBSET && left.length > 0) {
-    drawn.push(...left.splice(random.below(left.length), 1));
+    drawn.push(...left.splice(random.integerBelow(left.length), 1));
   }
   return drawn;
 }
@@ -60,7 +60,7 @@
     subset.forEach(member => users.set(member, users.get(member)! + 1));
     const drawn = idsOf(drawSubset(list));
     for (let change = 0; change < CHANGES; change += 1) {
-      const gone = random.below(list.length);
+      const gone = random.integerBelow(list.length);
       const fewer = list.filter((_, at) => at !== gone);
       moved.push(changed(subset, idsOf(chooseSubset(id, fewer, SUBSET))));
       movedDrawn.push(changed(drawn, idsOf(drawSubset(fewer))));
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -54,7 +54,7 @@
       );
       this.topics.push(
         Array.from({length: 4}, () =>
-          Array.from({length: 6}, () => random.below(EXPERTS)),
+          Array.from({length: 6}, () => random.integerBelow(EXPERTS)),
         ),
       );
     }
--- a/bench/planning.ts
+++ b/bench/planning.ts
@@ -63,7 +63,7 @@
 }
 
 function drifted(demand: Float64Array): Float64Array {
-  const moved = [...demand.keys()].filter(() => random.unit() < DRIFT_SHARE);
+  const moved = [...demand.keys()].filter(() => random.uniform() < DRIFT_SHARE);
   const shuffled = random.sample(moved, moved.length);
   const next = Float64Array.from(demand);
   moved.forEach((expert, at) => (next[expert] = demand[shuffled[at]!]!));
--- a/bench/routing.ts
+++ b/bench/routing.ts
@@ -183,7 +183,7 @@
     view.sent.note(now, request.prefixTokens + request.ownTokens - known);
     view.inFlight += 1;
     senders.set(request, {entry, id: rank.id});
-    if (random.unit() > LOST_EVENT) {
+    if (random.uniform() > LOST_EVENT) {
       entry.prefixes.noteSent(request.prefix, rank.id, request.prefixTokens);
     }
     const hopMs = rank.hall === entry.hall ? 0 : HALL_HOP_MS / 2;
--- a/bench/stats.ts
+++ b/bench/stats.ts
@@ -24,6 +24,6 @@
 
 /** A draw from the standard normal distribution (Box and Muller). */
 export function normal(): number {
-  const radius = Math.sqrt(-2 * Math.log(1 - random.unit()));
-  return radius * Math.cos(2 * Math.PI * random.unit());
+  const radius = Math.sqrt(-2 * Math.log(1 - random.uniform()));
+  return radius * Math.cos(2 * Math.PI * random.uniform());
 }
--- a/features/support/chaos.ts
+++ b/features/support/chaos.ts
@@ -52,7 +52,7 @@
     const endAt = Date.now() + milliseconds;
     while (Date.now() < endAt) {
       await this.injectFault();
-      await fleets.pause(100 + random.below(300));
+      await fleets.pause(100 + random.integerBelow(300));
     }
     this.running = false;
     await this.mendAll();
@@ -76,7 +76,7 @@
     const kinds = ['kill', 'freeze', 'outage', 'lost answers', 'map'] as const;
     const kind = random.pick(kinds);
     const id = random.pick(this.fleet.idsOf(''));
-    const forMs = 50 + random.below(MAX_FAULT_MS);
+    const forMs = 50 + random.integerBelow(MAX_FAULT_MS);
     this.faults.push(`${kind} ${id} ${forMs}`);
     switch (kind) {
       case 'kill':
@@ -98,7 +98,7 @@
         await this.fleet.setFaults(this.fleet.platform, {loseAnswers: 2});
         return;
       case 'map':
-        this.proposeMap(random.below(RANKS), random.below(1_000));
+        this.proposeMap(random.integerBelow(RANKS), random.integerBelow(1_000));
     }
   }
 
--- a/src/claims/owner-directory.ts
+++ b/src/claims/owner-directory.ts
@@ -139,7 +139,10 @@
       tries < SIDECARS_PER_FETCH && addresses.length > 0;
       tries += 1
     ) {
-      const [address] = addresses.splice(random.below(addresses.length), 1);
+      const [address] = addresses.splice(
+        random.integerBelow(addresses.length),
+        1,
+      );
       const answer = await this.rpc.call(address!, app.table, {service});
       for (const line of answer.ok ? answer.value.cells : []) {
         const name = `${line.slot} ${line.cell.from}`;
--- a/src/claims/slot-manager.test.ts
+++ b/src/claims/slot-manager.test.ts
@@ -159,7 +159,7 @@
       world.store.isDown = false;
       return;
     case 'lose':
-      world.store.answersToLose = one.answers;
+      world.store.responsesToDrop = one.answers;
       return;
     case 'wait':
       await jest.advanceTimersByTimeAsync(one.ms);
--- a/src/commands/operators.ts
+++ b/src/commands/operators.ts
@@ -3,7 +3,7 @@
 import * as os from 'node:os';
 import type {Command} from 'commander';
 import * as v from 'valibot';
-import * as app from '../configuration/app';
+import * as app from '../configuration/rpc-methods';
 import * as edit from '../configuration/edit';
 import * as parse from '../configuration/parse';
 import * as types from '../configuration/types';
@@ -76,7 +76,7 @@
         command.opts()['json']
           ? JSON.stringify({version, ...change})
           : `# version ${version}, by ${change.author} at ${change.at}\n` +
-              parse.printDocument(change.document),
+              parse.formatDocument(change.document),
       );
     });
   });
@@ -121,9 +121,9 @@
           return failWith(command, read.error);
         }
         const before = read.value
-          ? parse.printDocument(read.value.change.document)
+          ? parse.formatDocument(read.value.change.document)
           : '';
-        print(diffLines(before, parse.printDocument(document)));
+        print(diffLines(before, parse.formatDocument(document)));
       }
     });
   });
@@ -228,7 +228,9 @@
     return [{text: `${file}: cannot be read`}];
   }
   const parsed = parse.parseFile(text);
-  const errors = parsed.ok ? parse.checkTogether(parsed.value) : parsed.error;
+  const errors = parsed.ok
+    ? parse.validateAccounts(parsed.value)
+    : parsed.error;
   return errors.map(err => ({
     text:
       `${file}:${err.line}:${err.column}: ` +
@@ -353,14 +355,16 @@
 function printConflict(
   error: Extract<edit.EditError, {kind: 'edit-conflict'}>,
 ): string {
-  const theirs = error.theirs ? parse.printDocument(error.theirs.document) : '';
+  const theirs = error.theirs
+    ? parse.formatDocument(error.theirs.document)
+    : '';
   const by = error.theirs ? `${error.theirs.author} at ${error.theirs.at}` : '';
   return [
     `conflict: version ${error.theirVersion} by ${by} is in force, not the ` +
       `version ${error.base} that this edit was made from; nothing written`,
     '--- theirs',
     '+++ ours',
-    diffLines(theirs, parse.printDocument(error.ours)),
+    diffLines(theirs, parse.formatDocument(error.ours)),
   ].join('\n');
 }
 
--- a/src/configuration/edit.ts
+++ b/src/configuration/edit.ts
@@ -27,13 +27,13 @@
   | {readonly kind: 'outcome-unknown'; readonly changeId: string};
 
 /** An accepted edit. */
-export interface Accepted {
+export interface AcceptedEdit {
   readonly changeId: string;
   readonly object: StoredObject;
 }
 
-const READ_BACK_TRIES = 20;
-const READ_BACK_PAUSE_MS = 500;
+const MAX_WRITE_RETRIES = 20;
+const WRITE_RETRY_INTERVAL_MS = 500;
 
 /** Reads a document with its version; null where there is none. */
 export async function readChange(
@@ -54,7 +54,7 @@
 }
 
 /** One line of a document's history. */
-export interface HistoryLine {
+export interface HistoryEntry {
   readonly changeId: string;
   readonly author: string;
   readonly at: string;
@@ -64,7 +64,7 @@
 export async function readHistory(
   store: ObjectApi,
   key: string,
-): Promise<Result<HistoryLine[], EditError>> {
+): Promise<Result<HistoryEntry[], EditError>> {
   const read = await readChange(store, key);
   if (!read.ok) {
     return read;
@@ -85,9 +85,9 @@
   document: types.Document,
   base: number,
   author: string,
-): Promise<Result<Accepted, EditError>> {
+): Promise<Result<AcceptedEdit, EditError>> {
   const key = types.keyOf(document);
-  const sound = await checkAgainstStore(store, document, base);
+  const sound = await validateAgainstStore(store, document, base);
   if (!sound.ok) {
     return sound;
   }
@@ -100,7 +100,7 @@
     author,
     at: new Date().toISOString(),
     document,
-    former: former.value.slice(0, types.MAX_HISTORY),
+    former: former.value.slice(0, types.MAX_HISTORY_CHANGES),
   };
   const {changeId} = value;
   const written = await store.put(key, value, base);
@@ -109,10 +109,10 @@
     return ok({changeId, object});
   }
   if (written.error.kind === 'conflict') {
-    return settleConflict(written.error.current, value, base);
+    return resolveConflict(written.error.current, value, base);
   }
   if (written.error.kind === 'unavailable' && written.error.maybeApplied) {
-    return readBack(store, key, value, base);
+    return retryWrite(store, key, value, base);
   }
   return written;
 }
@@ -121,11 +121,11 @@
  * A conflict with our own change id means that an earlier try of this very
  * write took effect.
  */
-function settleConflict(
+function resolveConflict(
   current: StoredObject | null,
   ours: types.Change,
   base: number,
-): Result<Accepted, EditError> {
+): Result<AcceptedEdit, EditError> {
   const parsed = v.safeParse(types.changeSchema, current?.value);
   const theirs = parsed.success ? parsed.output : null;
   if (current !== null && theirs?.changeId === ours.changeId) {
@@ -145,34 +145,34 @@
  * base is still there, the write may be on its way, so writing it again
  * under the same condition can't do harm.
  */
-async function readBack(
+async function retryWrite(
   store: ObjectApi,
   key: string,
   value: types.Change,
   base: number,
-): Promise<Result<Accepted, EditError>> {
-  for (let tries = 0; tries < READ_BACK_TRIES; tries += 1) {
+): Promise<Result<AcceptedEdit, EditError>> {
+  for (let tries = 0; tries < MAX_WRITE_RETRIES; tries += 1) {
     const written = await store.put(key, value, base);
     if (written.ok) {
       const object = {key, version: written.value, value};
       return ok({changeId: value.changeId, object});
     }
     if (written.error.kind === 'conflict') {
-      return settleConflict(written.error.current, value, base);
+      return resolveConflict(written.error.current, value, base);
     }
-    await new Promise(resolve => setTimeout(resolve, READ_BACK_PAUSE_MS));
+    await new Promise(resolve => setTimeout(resolve, WRITE_RETRY_INTERVAL_MS));
   }
   return fail({kind: 'outcome-unknown', changeId: value.changeId});
 }
 
 /** What the schema of one document alone can't see. */
-async function checkAgainstStore(
+async function validateAgainstStore(
   store: ObjectApi,
   document: types.Document,
   base: number,
 ): Promise<Result<void, EditError>> {
   if (document.kind === 'account') {
-    return checkAccount(store, document);
+    return validateAccount(store, document);
   }
   if (base === 0) {
     return ok(undefined);
@@ -182,14 +182,16 @@
     return before;
   }
   const old = before.value?.change.document;
-  return old?.kind === 'template' ? checkSlots(old, document) : ok(undefined);
+  return old?.kind === 'template'
+    ? validateSlotCounts(old, document)
+    : ok(undefined);
 }
 
 /**
  * A service's number of slots decides which sidecar owns a key. Another
  * number would give keys that have run to owners that don't know it.
  */
-function checkSlots(
+function validateSlotCounts(
   old: types.Template,
   next: types.Template,
 ): Result<void, EditError> {
@@ -202,7 +204,7 @@
   return ok(undefined);
 }
 
-async function checkAccount(
+async function validateAccount(
   store: ObjectApi,
   account: types.Account,
 ): Promise<Result<void, EditError>> {
--- a/src/configuration/follower.test.ts
+++ b/src/configuration/follower.test.ts
@@ -27,7 +27,7 @@
     await follower.start();
     await jest.advanceTimersByTimeAsync(60_000);
     // Three waits of 20 s, and the list of instances every 2 s or so.
-    expect(store.calls).toBeLessThan(60);
+    expect(store.callCount).toBeLessThan(60);
     follower.close();
     rpc.close();
   });
@@ -39,25 +39,29 @@
     const follower = new Follower(identity, store, SILENT_LOG, () => rpc);
     await follower.start();
     store.isDown = true;
-    store.calls = 0;
+    store.callCount = 0;
     await jest.advanceTimersByTimeAsync(60_000);
-    expect(store.calls).toBeLessThan(90);
+    expect(store.callCount).toBeLessThan(90);
     follower.close();
     rpc.close();
   });
 
   it('leaves the store to the watchers once it knows of them', async () => {
     const store = new SlowStore();
-    store.listed = makeMates(6);
+    store.instanceList = makeMates(6);
     const rpc = new WaitingRpc();
-    const last = rendezvous.rankByKey('hall-a', store.listed, i => i.id)[5]!;
+    const last = rendezvous.rankByKey(
+      'hall-a',
+      store.instanceList,
+      i => i.id,
+    )[5]!;
     const identity = {id: last.id, hall: 'hall-a', peers: []};
     const follower = new Follower(identity, store, SILENT_LOG, () => rpc);
     await follower.start();
     await jest.advanceTimersByTimeAsync(80_000);
-    store.calls = 0;
+    store.callCount = 0;
     await jest.advanceTimersByTimeAsync(60_000);
-    expect(store.calls).toBe(0);
+    expect(store.callCount).toBe(0);
     follower.close();
     rpc.close();
   });
--- a/src/configuration/follower.ts
+++ b/src/configuration/follower.ts
@@ -25,15 +25,15 @@
 import type {RpcClient} from '../rpc/client';
 import type {RpcServer} from '../rpc/server';
 import type {StampExchange} from '../rpc/types';
-import * as app from './app';
+import * as app from './rpc-methods';
 import * as replica from './replica';
 import {CONFIGURATION_PREFIX} from './types';
 
 /** Processes of a hall that watch the store for the others. */
 export const WATCHERS_PER_HALL = 2;
 const WATCH_WAIT_MS = 20_000;
-const LIST_PERIOD_MS = 2_000;
-const GOSSIP_PERIOD_MS = 5_000;
+const INSTANCE_POLL_INTERVAL_MS = 2_000;
+const GOSSIP_INTERVAL_MS = 5_000;
 const RETRY_MIN_MS = 200;
 const RETRY_MAX_MS = 3_000;
 const FETCH_TIMEOUT_MS = 2_000;
@@ -54,7 +54,7 @@
 
 export class Follower {
   readonly replica: replica.Replica;
-  private readonly list = new BehaviorSubject<InstanceList>({
+  private readonly instanceList = new BehaviorSubject<InstanceList>({
     instances: [],
     digest: '',
   });
@@ -62,12 +62,12 @@
   private readonly closed = new Subject<void>();
   private readonly fetching = new Map<string, Promise<void>>();
   /** Odd while this process asks the store for the list of instances. */
-  private listRound = 0;
-  private listTimer: NodeJS.Timeout | undefined;
+  private instancePollRound = 0;
+  private instancePollTimer: NodeJS.Timeout | undefined;
   private gossipTimer: NodeJS.Timeout | undefined;
   private started: Promise<void> | undefined;
-  private storeDown = false;
-  private watching: string | undefined;
+  private isStoreDown = false;
+  private updateSource: string | undefined;
 
   constructor(
     private readonly identity: FollowerIdentity,
@@ -82,12 +82,12 @@
 
   /** The newest list of instances that this process knows. */
   get instances(): readonly Instance[] {
-    return this.list.value.instances;
+    return this.instanceList.value.instances;
   }
 
   /** Emits each new list of instances. */
   get instanceLists() {
-    return this.list.pipe(map(list => list.instances));
+    return this.instanceList.pipe(map(list => list.instances));
   }
 
   /** Starts following, once; resolves when the copy is filled. */
@@ -105,20 +105,20 @@
         this.closed,
       ).pipe(take(1)),
     );
-    await this.askSomePeers();
+    await this.fetchFromSeveralPeers();
   }
 
   /** Lets calls between processes carry and compare stamps. */
   get stampExchange(): StampExchange {
     return {
-      mine: () => replica.printStamp(this.replica.stamp),
+      mine: () => replica.formatStamp(this.replica.stamp),
       seen: (stamp, address) => void this.catchUp(stamp, address),
     };
   }
 
   /** Fetches from a peer where its stamp shows more than this copy has. */
   async catchUp(stampText: string, address: string): Promise<void> {
-    const theirs = replica.readStamp(stampText);
+    const theirs = replica.parseStamp(stampText);
     if (
       theirs === undefined ||
       address === '' ||
@@ -133,26 +133,26 @@
   }
 
   /** Binds the RPC face. */
-  serve(server: RpcServer): void {
+  registerHandlers(server: RpcServer): void {
     server.handle(app.since, params => this.replica.since(params.version));
     server.handle(app.hello, () => ({}));
     server.handle(app.push, params => {
-      const before = replica.printStamp(this.replica.stamp);
-      this.replica.mergeExtra(params.item);
+      const before = replica.formatStamp(this.replica.stamp);
+      this.replica.mergePushed(params.item);
       this.reportChange(before, 'operator');
-      return {stamp: replica.printStamp(this.replica.stamp)};
+      return {stamp: replica.formatStamp(this.replica.stamp)};
     });
-    server.handle(app.wait, params => this.answerWait(params));
+    server.handle(app.wait, params => this.handleWait(params));
   }
 
   close(): void {
     this.closing.abort();
     this.closed.next();
     this.closed.complete();
-    clearTimeout(this.listTimer);
+    clearTimeout(this.instancePollTimer);
     clearTimeout(this.gossipTimer);
     this.replica.close();
-    this.list.complete();
+    this.instanceList.complete();
   }
 
   private async fetchFrom(address: string): Promise<void> {
@@ -169,17 +169,17 @@
   }
 
   private mergeDelta(delta: replica.Delta, source: string): void {
-    const before = replica.printStamp(this.replica.stamp);
+    const before = replica.formatStamp(this.replica.stamp);
     this.replica.mergeDelta(delta);
     this.reportChange(before, source);
   }
 
   private reportChange(before: string, source: string): void {
-    const stamp = replica.printStamp(this.replica.stamp);
+    const stamp = replica.formatStamp(this.replica.stamp);
     if (stamp !== before) {
       this.log.event('configurationApplied', {stamp, source});
-      if (source !== 'store' && source !== this.watching) {
-        this.spreadNews(source);
+      if (source !== 'store' && source !== this.updateSource) {
+        this.notifyWatchers(source);
       }
     }
   }
@@ -188,7 +188,7 @@
    * News that did not come by the usual way may have reached nobody else:
    * the hall's watchers are told, and by these the other halls' watchers.
    */
-  private spreadNews(source: string): void {
+  private notifyWatchers(source: string): void {
     const own = this.watchersOf(this.identity.hall);
     const isWatcher = own.some(mate => mate.id === this.identity.id);
     const halls = new Set(this.instances.map(instance => instance.hall));
@@ -222,23 +222,23 @@
     if (!this.closing.signal.aborted) {
       this.gossipTimer = setTimeout(
         () => void this.gossip(),
-        random.jitter(GOSSIP_PERIOD_MS),
+        random.jitter(GOSSIP_INTERVAL_MS),
       );
     }
   }
 
-  private async answerWait(params: {
+  private async handleWait(params: {
     stamp: string;
     instancesDigest: string;
     waitMs: number;
   }) {
-    const theirs = replica.readStamp(params.stamp);
+    const theirs = replica.parseStamp(params.stamp);
     const isNews = () =>
       theirs === undefined ||
       replica.isBehind(theirs, this.replica.stamp) ||
-      this.list.value.digest !== params.instancesDigest;
+      this.instanceList.value.digest !== params.instancesDigest;
     if (!isNews()) {
-      const news = merge(this.replica.changes, this.list).pipe(
+      const news = merge(this.replica.changes, this.instanceList).pipe(
         filter(isNews),
         take(1),
       );
@@ -246,7 +246,7 @@
         defaultValue: undefined,
       });
     }
-    const list = this.list.value;
+    const list = this.instanceList.value;
     const changed = list.digest !== params.instancesDigest;
     return {
       delta: this.replica.since(theirs?.complete ?? 0),
@@ -258,51 +258,51 @@
   private async followChanges(): Promise<void> {
     let failures = 0;
     while (!this.closing.signal.aborted) {
-      const source = this.chooseSource(failures);
+      const source = this.chooseUpdateSource(failures);
       const worked =
         source === undefined
           ? await this.watchStore()
-          : await this.waitAtWatcher(source);
+          : await this.waitForWatcher(source);
       failures = worked ? 0 : failures + 1;
       if (!worked) {
-        await this.askPeers();
-        await this.pause(failures);
+        await this.fetchFromRandomPeer();
+        await this.backOff(failures);
       }
     }
   }
 
   /** Undefined: this process watches the store itself. */
-  private chooseSource(failures: number): string | undefined {
+  private chooseUpdateSource(failures: number): string | undefined {
     const watchers = this.watchersOf(this.identity.hall);
     const isWatcher = watchers.some(m => m.id === this.identity.id);
     // A process that reaches no watcher goes to the store: a hall whose
     // watchers died at once must not wait for the lagging list.
     if (isWatcher || watchers.length === 0 || failures >= watchers.length) {
-      this.noteSource('store');
+      this.setUpdateSource('store');
       return undefined;
     }
     const mine = rendezvous.rankByKey(this.identity.id, watchers, m => m.id);
     const address = mine[failures % mine.length]!.address;
-    this.noteSource(address);
+    this.setUpdateSource(address);
     return address;
   }
 
-  private noteSource(source: string): void {
-    if (this.watching !== source) {
-      this.watching = source;
+  private setUpdateSource(source: string): void {
+    if (this.updateSource !== source) {
+      this.updateSource = source;
       this.log.event('watcherChanged', {source});
     }
   }
 
-  private async waitAtWatcher(address: string): Promise<boolean> {
-    this.listRound += this.listRound % 2;
-    clearTimeout(this.listTimer);
+  private async waitForWatcher(address: string): Promise<boolean> {
+    this.instancePollRound += this.instancePollRound % 2;
+    clearTimeout(this.instancePollTimer);
     const answer = await this.rpcClient().call(
       address,
       app.wait,
       {
-        stamp: replica.printStamp(this.replica.stamp),
-        instancesDigest: this.list.value.digest,
+        stamp: replica.formatStamp(this.replica.stamp),
+        instancesDigest: this.instanceList.value.digest,
         waitMs: WATCH_WAIT_MS,
       },
       WATCH_WAIT_MS + WAIT_GRACE_MS,
@@ -322,11 +322,11 @@
   private watchRevision: number | undefined;
 
   private async watchStore(): Promise<boolean> {
-    if (this.listRound % 2 === 0) {
-      this.listRound += 1;
-      void this.pollInstances(this.listRound);
+    if (this.instancePollRound % 2 === 0) {
+      this.instancePollRound += 1;
+      void this.pollInstances(this.instancePollRound);
     }
-    const before = replica.printStamp(this.replica.stamp);
+    const before = replica.formatStamp(this.replica.stamp);
     const answer =
       this.watchRevision === undefined
         ? await this.store.list(CONFIGURATION_PREFIX)
@@ -342,7 +342,7 @@
     if (!answer.ok) {
       return this.onStoreError(answer.error.kind);
     }
-    this.noteStoreBack();
+    this.markStoreAvailable();
     const {revision} = answer.value;
     this.watchRevision = Math.max(this.watchRevision ?? 0, revision);
     this.replica.mergeListing(answer.value);
@@ -356,16 +356,16 @@
       this.log.event('watchRelisted');
       return true;
     }
-    if (!this.storeDown) {
-      this.storeDown = true;
+    if (!this.isStoreDown) {
+      this.isStoreDown = true;
       this.log.event('platformUnavailable', {error: kind});
     }
     return false;
   }
 
-  private noteStoreBack(): void {
-    if (this.storeDown) {
-      this.storeDown = false;
+  private markStoreAvailable(): void {
+    if (this.isStoreDown) {
+      this.isStoreDown = false;
       this.log.event('platformBack');
     }
   }
@@ -374,35 +374,38 @@
     const answer = await this.store.instances();
     // Another process may have become the watcher meanwhile, or this one
     // may have begun another round.
-    if (this.closing.signal.aborted || round !== this.listRound) {
+    if (this.closing.signal.aborted || round !== this.instancePollRound) {
       return;
     }
     if (answer.ok) {
       this.setInstances(answer.value);
     }
-    const waitMs = random.jitter(LIST_PERIOD_MS);
-    this.listTimer = setTimeout(() => void this.pollInstances(round), waitMs);
+    const waitMs = random.jitter(INSTANCE_POLL_INTERVAL_MS);
+    this.instancePollTimer = setTimeout(
+      () => void this.pollInstances(round),
+      waitMs,
+    );
   }
 
   private setInstances(instances: readonly Instance[]): void {
     const digest = createHash('sha256')
       .update(JSON.stringify(instances))
       .digest('base64url');
-    if (digest !== this.list.value.digest) {
-      this.list.next({instances, digest});
+    if (digest !== this.instanceList.value.digest) {
+      this.instanceList.next({instances, digest});
     }
   }
 
   /** The store's answer may come from a replica that lags behind. */
-  private async askSomePeers(): Promise<void> {
+  private async fetchFromSeveralPeers(): Promise<void> {
     const START_PEERS = 3;
     for (let asked = 0; asked < START_PEERS; asked += 1) {
-      await this.askPeers();
+      await this.fetchFromRandomPeer();
     }
   }
 
   /** While the store is down, peers are the only source of changes. */
-  private async askPeers(): Promise<void> {
+  private async fetchFromRandomPeer(): Promise<void> {
     const known = this.instances
       .filter(i => i.state === 'live' && i.id !== this.identity.id)
       .map(i => i.address);
@@ -412,7 +415,7 @@
     }
   }
 
-  private async pause(failures: number): Promise<void> {
+  private async backOff(failures: number): Promise<void> {
     const limit = Math.min(RETRY_MIN_MS * 2 ** failures, RETRY_MAX_MS);
     await firstValueFrom(
       race(timer(random.jitter(limit)), this.closed).pipe(take(1)),
--- a/src/configuration/parse.test.ts
+++ b/src/configuration/parse.test.ts
@@ -17,7 +17,7 @@
       const text = fs.readFileSync(path.join(EXAMPLES, name), 'utf8');
       const parsed = parse.parseFile(text);
       expect(
-        parsed.ok ? parse.checkTogether(parsed.value) : parsed.error,
+        parsed.ok ? parse.validateAccounts(parsed.value) : parsed.error,
       ).toEqual([]);
     }
   });
--- a/src/configuration/parse.ts
+++ b/src/configuration/parse.ts
@@ -28,7 +28,7 @@
       errors.push(...source.errors.map(err => syntaxError(err, lines)));
       continue;
     }
-    const value = toValue(source);
+    const value = resolveAliases(source);
     if (!value.ok) {
       errors.push(value.error);
       continue;
@@ -50,7 +50,7 @@
 }
 
 /** Accounts of a file are rendered with the templates of the same file. */
-export function checkTogether(
+export function validateAccounts(
   documents: readonly types.Document[],
 ): FileError[] {
   const templates = new Map(
@@ -73,12 +73,12 @@
 }
 
 /** Prints a document as the YAML that an operator edits. */
-export function printDocument(document: types.Document): string {
+export function formatDocument(document: types.Document): string {
   return yaml.stringify(document);
 }
 
 /** Aliases are resolved only here, and may lead nowhere or explode. */
-function toValue(source: yaml.Document): Result<unknown, FileError> {
+function resolveAliases(source: yaml.Document): Result<unknown, FileError> {
   try {
     return ok(source.toJS({maxAliasCount: MAX_ALIASES}));
   } catch (err) {
--- a/src/configuration/replica.test.ts
+++ b/src/configuration/replica.test.ts
@@ -57,7 +57,7 @@
       copy.mergeListing(listing(one.version));
       return;
     case 'push':
-      copy.mergeExtra(HISTORY[one.version - 1]!);
+      copy.mergePushed(HISTORY[one.version - 1]!);
       return;
     case 'fetch': {
       const from = copies[one.from]!;
@@ -140,8 +140,8 @@
   it('hear of each other also where as many changes were pushed', () => {
     const [a, b] = [new Replica(), new Replica()];
     [a, b].forEach(copy => copy.mergeListing(listing(2)));
-    [3, 6, 7].forEach(version => a.mergeExtra(HISTORY[version - 1]!));
-    [4, 5, 7].forEach(version => b.mergeExtra(HISTORY[version - 1]!));
+    [3, 6, 7].forEach(version => a.mergePushed(HISTORY[version - 1]!));
+    [4, 5, 7].forEach(version => b.mergePushed(HISTORY[version - 1]!));
     expect(isBehind(a.stamp, b.stamp)).toBe(true);
   });
 });
--- a/src/configuration/replica.ts
+++ b/src/configuration/replica.ts
@@ -35,13 +35,13 @@
   private readonly templates = new Map<string, types.Template>();
   private readonly accounts = new Map<string, types.Account>();
   private readonly rendered = new Map<string, types.RenderedAccount>();
-  private readonly owners = new Map<string, string>();
+  private readonly accountIdByDigest = new Map<string, string>();
   private readonly stampSubject = new BehaviorSubject<Stamp>({
     complete: 0,
     highest: 0,
     extras: 0,
   });
-  private filled = false;
+  private isFilled = false;
 
   constructor(private readonly onRejected: OnRejected = () => undefined) {}
 
@@ -56,25 +56,25 @@
 
   /** False until a listing or a peer's whole copy has been merged. */
   get ready(): boolean {
-    return this.filled;
+    return this.isFilled;
   }
 
   /** Merges all objects as of a store revision. */
   mergeListing(listing: Listing): void {
     const newest = Math.max(0, ...listing.items.map(item => item.version));
-    this.filled = true;
+    this.isFilled = true;
     this.merge(listing.items, newest);
   }
 
   /** Merges what a peer holds beyond this copy's `complete`. */
   mergeDelta(delta: Delta): void {
     // A peer that holds nothing yet is no proof that there is nothing.
-    this.filled ||= delta.complete > 0;
+    this.isFilled ||= delta.complete > 0;
     this.merge(delta.items, delta.complete);
   }
 
   /** Merges one accepted change that may lie ahead of this copy. */
-  mergeExtra(item: StoredObject): void {
+  mergePushed(item: StoredObject): void {
     this.merge([item], this.stamp.complete);
   }
 
@@ -104,8 +104,8 @@
   }
 
   /** The account whose API key has this SHA-256 digest. */
-  accountOfDigest(digest: string): types.RenderedAccount | undefined {
-    const id = this.owners.get(digest);
+  accountByKeyDigest(digest: string): types.RenderedAccount | undefined {
+    const id = this.accountIdByDigest.get(digest);
     return id === undefined ? undefined : this.rendered.get(id);
   }
 
@@ -130,7 +130,7 @@
       changed = this.mergeObject(item) || changed;
     }
     if (changed || this.stamp.highest === 0) {
-      this.restamp(Math.max(complete, this.stamp.complete));
+      this.updateStamp(Math.max(complete, this.stamp.complete));
     }
   }
 
@@ -142,28 +142,28 @@
     this.objects.set(item.key, item);
     const parsed = v.safeParse(types.changeSchema, item.value);
     if (parsed.success) {
-      this.putInForce(parsed.output.document);
+      this.applyDocument(parsed.output.document);
     } else {
       this.onRejected(item.key, parsed.issues[0]?.message ?? 'wrong shape');
     }
     return true;
   }
 
-  private putInForce(document: types.Document): void {
+  private applyDocument(document: types.Document): void {
     if (document.kind === 'account') {
       this.accounts.set(document.id, document);
-      this.renderOne(document);
+      this.renderAccount(document);
       return;
     }
     this.templates.set(document.name, document);
     for (const account of this.accounts.values()) {
       if (account.template === document.name) {
-        this.renderOne(account);
+        this.renderAccount(account);
       }
     }
   }
 
-  private renderOne(account: types.Account): void {
+  private renderAccount(account: types.Account): void {
     const template = this.templates.get(account.template);
     const result = render.renderAccount(account, template);
     if (!result.ok) {
@@ -174,21 +174,21 @@
     }
     const former = this.rendered.get(account.id);
     for (const digest of former?.keyDigests ?? []) {
-      this.owners.delete(digest);
+      this.accountIdByDigest.delete(digest);
     }
     for (const digest of account.keyDigests) {
-      this.owners.set(digest, account.id);
+      this.accountIdByDigest.set(digest, account.id);
     }
     this.rendered.set(account.id, result.value);
   }
 
-  private restamp(complete: number): void {
+  private updateStamp(complete: number): void {
     let highest = complete;
     let extras = 0;
     for (const item of this.objects.values()) {
       highest = Math.max(highest, item.version);
       if (item.version > complete) {
-        extras = (extras + spreadBits(item.version)) % DIGEST_RANGE;
+        extras = (extras + hashVersion(item.version)) % DIGEST_RANGE;
       }
     }
     this.stampSubject.next({complete, highest, extras});
@@ -198,17 +198,17 @@
 const DIGEST_RANGE = 2 ** 31 - 1;
 
 /** Sums of versions would often be equal; sums of these are not. */
-function spreadBits(version: number): number {
+function hashVersion(version: number): number {
   return murmurhash.v3(String(version)) % DIGEST_RANGE;
 }
 
 /** `complete.highest.extras`, as it travels in a header. */
-export function printStamp(stamp: Stamp): string {
+export function formatStamp(stamp: Stamp): string {
   return `${stamp.complete}.${stamp.highest}.${stamp.extras}`;
 }
 
 /** Undefined where the text is no stamp. */
-export function readStamp(text: string): Stamp | undefined {
+export function parseStamp(text: string): Stamp | undefined {
   if (!/^\d{1,15}\.\d{1,15}\.\d{1,15}$/.test(text)) {
     return undefined;
   }
--- a/src/configuration/types.ts
+++ b/src/configuration/types.ts
@@ -156,7 +156,7 @@
 export type Document = v.InferOutput<typeof documentSchema>;
 
 /** Former changes that a document remembers. */
-export const MAX_HISTORY = 20;
+export const MAX_HISTORY_CHANGES = 20;
 
 /** What the store holds: the document and the change that wrote it. */
 export const changeSchema = v.object({
--- a/src/crashes/crash-coordinator.ts
+++ b/src/crashes/crash-coordinator.ts
@@ -8,7 +8,7 @@
 import type {Target} from '../forwarding/types';
 import * as grouping from '../grouping';
 import type {Log} from '../observability/log';
-import type {PeerOrder} from '../peers/peer-order';
+import type {PeerRanking} from '../peers/peer-ranking';
 import type {RpcClient} from '../rpc/client';
 import type {RpcServer} from '../rpc/server';
 import * as app from './app';
@@ -28,7 +28,7 @@
 /** What finding them needs of its process. */
 export interface CrashContext {
   readonly rpc: RpcClient;
-  readonly peers: PeerOrder;
+  readonly peers: PeerRanking;
   readonly log: Log;
 }
 
@@ -54,12 +54,12 @@
   /** Answers peers on `server`. */
   open(server: RpcServer): void {
     server.handle(app.report, ({from, reports}) => {
-      this.context.peers.noteHeard(from);
+      this.context.peers.markResponsive(from);
       reports.forEach(one => this.judge(one));
       return {};
     });
     server.handle(app.convict, ({from, convicted}) => {
-      this.context.peers.noteHeard(from);
+      this.context.peers.markResponsive(from);
       this.applyNotices(convicted);
       return {};
     });
@@ -166,10 +166,10 @@
     }
     const byJudge = grouping.groupBy(
       reports,
-      ({digest}) => peers.answering(digest)[0]!,
+      ({digest}) => peers.responsive(digest)[0]!,
     );
     for (const [judge, some] of byJudge) {
-      if (judge === peers.own) {
+      if (judge === peers.ownAddress) {
         some.forEach(one => this.judge(one));
       } else {
         void this.sendReports(judge, some);
@@ -182,13 +182,13 @@
     reports: readonly app.Report[],
   ): Promise<void> {
     const {rpc, peers} = this.context;
-    const params = {from: peers.own, reports: [...reports]};
+    const params = {from: peers.ownAddress, reports: [...reports]};
     const answer = await rpc.call(judge, app.report, params, RPC_TIMEOUT_MS);
     if (answer.ok) {
-      peers.noteHeard(judge);
+      peers.markResponsive(judge);
     } else if (!this.isClosed) {
       // The next one judges; two that both do convict nobody too early.
-      peers.noteSilent(judge);
+      peers.markUnresponsive(judge);
       this.report(reports);
     }
   }
@@ -212,7 +212,7 @@
   private async notifyPeers(
     convicted: readonly QuarantineNotice[],
   ): Promise<void> {
-    const {book} = this.context.peers;
+    const {directory: book} = this.context.peers;
     await Promise.all(book.known.map(peer => this.notifyPeer(peer, convicted)));
   }
 
@@ -221,11 +221,11 @@
     convicted: readonly QuarantineNotice[],
   ): Promise<void> {
     const {rpc, peers} = this.context;
-    const params = {from: peers.own, convicted: [...convicted]};
+    const params = {from: peers.ownAddress, convicted: [...convicted]};
     for (let tries = 0; tries < MAX_ATTEMPTS && !this.isClosed; tries += 1) {
       const answer = await rpc.call(peer, app.convict, params, RPC_TIMEOUT_MS);
       if (answer.ok) {
-        peers.noteHeard(peer);
+        peers.markResponsive(peer);
         return;
       }
     }
--- a/src/experts/map-changer.ts
+++ b/src/experts/map-changer.ts
@@ -218,5 +218,5 @@
 /** Higher than all before, and never the same as another planner's. */
 export function nextVersion(highest: number): number {
   const unit = Math.floor(highest / VERSION_STRIDE) + 1;
-  return unit * VERSION_STRIDE + random.below(VERSION_STRIDE);
+  return unit * VERSION_STRIDE + random.integerBelow(VERSION_STRIDE);
 }
--- a/src/forwarding/forwarder.ts
+++ b/src/forwarding/forwarder.ts
@@ -7,7 +7,7 @@
 import * as bodies from '../http/body';
 import {Log} from '../observability/log';
 import {Metrics} from '../observability/metrics';
-import type {Reach} from '../peers/reach';
+import type {LastContact} from '../peers/last-contact';
 import * as random from '../random';
 import type {SiteSettings} from '../roles/site-settings';
 import {CurrentConfiguration} from '../routes/current';
@@ -35,7 +35,7 @@
   readonly balancer: LoadBalancer;
   readonly gate: GroupGate;
   readonly views: GroupViews;
-  readonly reach: Reach;
+  readonly reach: LastContact;
   readonly connections: TargetConnections;
   readonly crashes: CrashCoordinator;
   /** Entries of the site that are known, this one among them. */
@@ -144,7 +144,7 @@
       }
       return;
     }
-    const service = tables.pickService(route.route, random.unit());
+    const service = tables.pickService(route.route, random.uniform());
     const request = {
       head,
       body: hasBody(call.req) ? body.value : undefined,
--- a/src/forwarding/group-choice.ts
+++ b/src/forwarding/group-choice.ts
@@ -40,7 +40,8 @@
       ? targets.length
       : Math.max(room.most - room.requests, 0),
   );
-  let left = random.unit() * weights.reduce((sum, weight) => sum + weight, 0);
+  let left =
+    random.uniform() * weights.reduce((sum, weight) => sum + weight, 0);
   return options.find((_, at) => {
     left -= weights[at]!;
     return weights[at]! > 0 && left < 0;
--- a/src/forwarding/group-views.test.ts
+++ b/src/forwarding/group-views.test.ts
@@ -1,5 +1,5 @@
 import type {GroupView} from '../experts/types';
-import {Reach} from '../peers/reach';
+import {LastContact} from '../peers/last-contact';
 import {ok} from '../result';
 import type {EngineFigures} from '../routes/types';
 import type {RpcClient} from '../rpc/client';
@@ -60,7 +60,7 @@
 async function viewsAfter(answers: readonly object[]): Promise<GroupViews> {
   const views = new GroupViews({
     rpc: tell(answers),
-    reach: new Reach(),
+    reach: new LastContact(),
     hall: 'h',
     rpcPort: 1,
     ranks: () => ranks,
--- a/src/forwarding/group-views.ts
+++ b/src/forwarding/group-views.ts
@@ -6,7 +6,7 @@
 import * as rxjs from 'rxjs';
 import * as experts from '../experts/app';
 import type {GroupView} from '../experts/types';
-import type {Reach} from '../peers/reach';
+import type {LastContact} from '../peers/last-contact';
 import * as grouping from '../grouping';
 import * as random from '../random';
 import type {EngineFigures} from '../routes/types';
@@ -62,7 +62,7 @@
 /** What following groups needs. */
 export interface GroupViewsContext {
   readonly rpc: RpcClient;
-  readonly reach: Reach;
+  readonly reach: LastContact;
   readonly hall: string;
   /** Where sidecars listen. */
   readonly rpcPort: number;
@@ -236,7 +236,7 @@
     if (!answer.ok) {
       return false;
     }
-    this.context.reach.note();
+    this.context.reach.recordAnswer();
     const {known, seen} = answer.value;
     if (seen !== undefined) {
       const seenAt = performance.now() - seen.ageMs;
--- a/src/forwarding/load-balancer-failing.test.ts
+++ b/src/forwarding/load-balancer-failing.test.ts
@@ -88,7 +88,7 @@
     const {loads} = random.pick(entries);
     const tried = new Set<Target>();
     while (tried.size < ATTEMPTS) {
-      const group = `g${random.below(GROUPS)}`;
+      const group = `g${random.integerBelow(GROUPS)}`;
       const open = ranks.filter(one => one.group === group && !tried.has(one));
       const target = loads.choose(open, now)!;
       const at = ranks.indexOf(target);
@@ -138,7 +138,7 @@
       const loads = random.pick(entries);
       const target = loads.choose(targets, now)!;
       loads.begin(target.lifetime);
-      loads.end(target, random.unit() < 0.14 ? 1 : 0, now);
+      loads.end(target, random.uniform() < 0.14 ? 1 : 0, now);
       got[targets.findIndex(one => one.id === target.id)]! += 1;
     }
     const even = sent / targets.length;
--- a/src/forwarding/load-balancer.ts
+++ b/src/forwarding/load-balancer.ts
@@ -107,7 +107,8 @@
     const freeLent = lent.filter(target => this.hasRoom(target));
     for (const target of [...freeLent, ...this.candidatesOf(free, now)]) {
       const bonus = lent.includes(target) ? PERMIT_BONUS : 0;
-      const score = this.score(target, now) - bonus + random.unit() * TIE_BREAK;
+      const score =
+        this.score(target, now) - bonus + random.uniform() * TIE_BREAK;
       if (score < bestScore) {
         best = target;
         bestScore = score;
--- a/src/forwarding/relay.ts
+++ b/src/forwarding/relay.ts
@@ -85,7 +85,7 @@
       },
     });
     if (outcomes.hasResponded(outcome)) {
-      this.context.reach.note();
+      this.context.reach.recordAnswer();
     }
     this.observer.noteOutcome(target, outcome, said, sentAt);
     call.noteOutcome(outcomes.mayHaveRun(outcome));
--- a/src/forwarding/retry-delays.ts
+++ b/src/forwarding/retry-delays.ts
@@ -81,7 +81,7 @@
 }
 
 function jitterShare(): number {
-  return MIN_JITTER_SHARE + (1 - MIN_JITTER_SHARE) * random.unit();
+  return MIN_JITTER_SHARE + (1 - MIN_JITTER_SHARE) * random.uniform();
 }
 
 function maxDelayMs(leftMs: number): number {
--- a/src/peers/kind-copy.test.ts
+++ b/src/peers/kind-replica.test.ts
@@ -1,6 +1,6 @@
 import * as fc from 'fast-check';
 import type {StoredObject} from '../platform/types';
-import {KindCopy} from './kind-copy';
+import {KindReplica} from './kind-replica';
 
 function object(name: string, version: number): StoredObject {
   return {key: `k/${name}`, version, value: {name, version}};
@@ -16,42 +16,45 @@
 
 describe('a copy of what the store told', () => {
   it('tells nothing before it has heard anything', () => {
-    const copy = new KindCopy('k');
-    expect(copy.tell(undefined, false, 0)).toBeUndefined();
+    const copy = new KindReplica('k');
+    expect(copy.updateFor(undefined, false, 0)).toBeUndefined();
   });
 
   it('leaves out what the asking process holds', () => {
-    const [first, second] = [new KindCopy('k'), new KindCopy('k')];
-    first.take(listed(5, [object('a', 3), object('b', 5)]));
-    first.take(contact(100));
-    const news = first.tell(second.held, false, 150)!;
+    const [first, second] = [new KindReplica('k'), new KindReplica('k')];
+    first.applyWatchEvent(listed(5, [object('a', 3), object('b', 5)]));
+    first.applyWatchEvent(contact(100));
+    const news = first.updateFor(second.currentDigest, false, 150)!;
     expect(news).toMatchObject({revision: 5, ageMs: 50});
     expect(news.items).toHaveLength(2);
-    expect(second.offer(news, 1_000)).toEqual([
+    expect(second.applyPeerUpdate(news, 1_000)).toEqual([
       listed(5, [object('a', 3), object('b', 5)]),
       contact(950),
     ]);
-    const again = first.tell(second.held, false, 160)!;
+    const again = first.updateFor(second.currentDigest, false, 160)!;
     expect(again.items).toBeUndefined();
-    expect(second.offer(again, 2_000)).toEqual([contact(1_940)]);
+    expect(second.applyPeerUpdate(again, 2_000)).toEqual([contact(1_940)]);
   });
 
   it('counts age from the question, however long the answer took', () => {
-    const copy = new KindCopy('k');
+    const copy = new KindReplica('k');
     const news = {kind: 'k', revision: 1, ageMs: 200, isSettling: false};
-    const [, last] = copy.offer({...news, items: [object('a', 1)]}, 5_000);
+    const [, last] = copy.applyPeerUpdate(
+      {...news, items: [object('a', 1)]},
+      5_000,
+    );
     expect(last).toEqual(contact(4_800));
   });
 
   it('notices a removal by the digest', () => {
-    const [first, second] = [new KindCopy('k'), new KindCopy('k')];
+    const [first, second] = [new KindReplica('k'), new KindReplica('k')];
     for (const copy of [first, second]) {
-      copy.take(listed(5, [object('a', 3), object('b', 5)]));
-      copy.take(contact(0));
+      copy.applyWatchEvent(listed(5, [object('a', 3), object('b', 5)]));
+      copy.applyWatchEvent(contact(0));
     }
     const listing = {revision: 6, items: [], removed: ['k/b']};
-    first.take({kind: 'changed', listing});
-    const news = first.tell(second.held, false, 0)!;
+    first.applyWatchEvent({kind: 'changed', listing});
+    const news = first.updateFor(second.currentDigest, false, 0)!;
     expect(news.items).toEqual([object('a', 3)]);
   });
 
@@ -62,20 +65,22 @@
     });
     fc.assert(
       fc.property(fc.array(step, {maxLength: 30}), steps => {
-        const copy = new KindCopy('k');
+        const copy = new KindReplica('k');
         let highest = 0;
         for (const {isPeer, revision} of steps) {
           const items = [object('a', revision)];
           const news = {kind: 'k', revision, ageMs: 0, isSettling: false};
           const events = isPeer
-            ? copy.offer({...news, items}, 0)
-            : [listed(revision, items)].filter(one => copy.take(one));
+            ? copy.applyPeerUpdate({...news, items}, 0)
+            : [listed(revision, items)].filter(one =>
+                copy.applyWatchEvent(one),
+              );
           const isTaken = events.some(event => event.kind === 'listed');
           expect(isTaken).toBe(revision >= highest);
           highest = Math.max(highest, revision);
         }
-        copy.take(contact(0));
-        const told = copy.tell(undefined, false, 0);
+        copy.applyWatchEvent(contact(0));
+        const told = copy.updateFor(undefined, false, 0);
         expect(told?.items ?? []).toEqual(
           highest === 0 ? [] : [object('a', highest)],
         );
--- a/src/peers/kind-copy.ts
+++ b/src/peers/kind-replica.ts
@@ -10,12 +10,12 @@
 import * as murmurhash from 'murmurhash';
 import type * as objects from '../platform/types';
 import type {WatchEvent} from '../platform/watch-loop';
-import type {HeldKind, KindNews} from './types';
+import type {KindDigest, KindUpdate} from './types';
 
 /** Digests are kept within 32 bits. */
 const DIGEST_RANGE = 2 ** 32;
 
-export class KindCopy {
+export class KindReplica {
   private readonly items = new Map<string, objects.StoredObject>();
   private revision: number | undefined;
   private confirmedAt = -Infinity;
@@ -25,19 +25,19 @@
   /** `orderOf`: which of two objects of a key is newer, where they say so. */
   constructor(
     readonly kind: string,
-    private readonly orderOf: (
+    private readonly versionIn: (
       object: objects.StoredObject,
     ) => number | undefined = () => undefined,
   ) {}
 
   /** What this process tells a peer that it holds. */
-  get held(): HeldKind {
+  get currentDigest(): KindDigest {
     this.digest ??= digestOf(this.items.values());
     return {kind: this.kind, digest: this.digest};
   }
 
   /** Takes what the own watch says. False where a peer had told newer. */
-  take(event: WatchEvent): boolean {
+  applyWatchEvent(event: WatchEvent): boolean {
     switch (event.kind) {
       case 'lost':
         return true;
@@ -46,7 +46,7 @@
         return true;
       case 'listed':
       case 'changed':
-        return this.takeListing(event.kind, event.listing);
+        return this.applyListing(event.kind, event.listing);
     }
   }
 
@@ -56,17 +56,17 @@
   }
 
   /** What a peer that holds this should hear; undefined: nothing is known. */
-  tell(
-    asked: HeldKind | undefined,
+  updateFor(
+    asked: KindDigest | undefined,
     isSettling: boolean,
     now: number,
-  ): KindNews | undefined {
+  ): KindUpdate | undefined {
     const {kind, revision} = this;
     if (revision === undefined || this.confirmedAt === -Infinity) {
       return undefined;
     }
     const ageMs = Math.max(now - this.confirmedAt, 0);
-    const isSame = asked?.digest === this.held.digest;
+    const isSame = asked?.digest === this.currentDigest.digest;
     const items = isSame ? undefined : [...this.items.values()];
     return {kind, revision, ageMs, isSettling, items};
   }
@@ -76,15 +76,15 @@
    * would have brought. Its age is counted from the question, since the answer
    * may have been on its way for as long as anybody was frozen.
    */
-  offer(news: KindNews, askedAt: number): WatchEvent[] {
+  applyPeerUpdate(news: KindUpdate, askedAt: number): WatchEvent[] {
     if (news.revision < (this.revision ?? 0)) {
-      return this.takeNewer(news.items ?? []);
+      return this.applyNewer(news.items ?? []);
     }
     const events: WatchEvent[] = [];
     const {revision, items} = news;
     if (items !== undefined) {
       const listing = {revision, items, removed: []};
-      this.takeListing('listed', listing);
+      this.applyListing('listed', listing);
       events.push({kind: 'listed', listing});
     }
     if (this.revision !== undefined) {
@@ -97,7 +97,7 @@
   }
 
   /** Objects of an older revision that say that they are newer all the same. */
-  private takeNewer(items: readonly objects.StoredObject[]): WatchEvent[] {
+  private applyNewer(items: readonly objects.StoredObject[]): WatchEvent[] {
     const newer = items.filter(item =>
       this.isNewer(item, this.items.get(item.key)),
     );
@@ -115,14 +115,14 @@
     one: objects.StoredObject | undefined,
     other: objects.StoredObject | undefined,
   ): boolean {
-    const order = one && this.orderOf(one);
-    const otherOrder = other && this.orderOf(other);
+    const order = one && this.versionIn(one);
+    const otherOrder = other && this.versionIn(other);
     return (
       order !== undefined && otherOrder !== undefined && order > otherOrder
     );
   }
 
-  private takeListing(
+  private applyListing(
     kind: 'listed' | 'changed',
     listing: objects.Listing,
   ): boolean {
--- a/src/peers/peer-follower.ts
+++ b/src/peers/peer-poller.ts
@@ -7,8 +7,8 @@
  */
 import type {QuarantineNotice} from '../crashes/quarantine';
 import type {RpcClient} from '../rpc/client';
-import * as app from './app';
-import type {PeerBook} from './peer-book';
+import * as app from './rpc-methods';
+import type {PeerDirectory} from './peer-directory';
 import type * as types from './types';
 
 /**
@@ -16,62 +16,62 @@
  * process hears of reaches another that hears nothing in half of it on
  * average, well within the two seconds that a site grants.
  */
-const ROUND_MS = 300;
+const POLL_INTERVAL_MS = 300;
 /** Peers asked in a round. */
-const ASKED = 2;
+const PEERS_PER_POLL = 2;
 /** Longest wait for an answer, in milliseconds: a round trip and some work. */
-const ANSWER_MS = 250;
+const ANSWER_TIMEOUT_MS = 250;
 /**
  * And where others watch for this process: many may ask at once for a
  * configuration of some 100 KB.
  */
-const WATCHER_ANSWER_MS = 600;
+const WATCHER_ANSWER_TIMEOUT_MS = 600;
 /**
  * Pause between greetings, in milliseconds. One costs about 1 KB; a peer that
  * has started again is known to the others after it, and who watches the store
  * for the others is agreed upon after a few.
  */
-const GREETING_MS = 3_000;
+const DISCOVERY_INTERVAL_MS = 3_000;
 
 /**
  * Time in which a process that has just started goes on asking until a peer has
  * answered, in milliseconds: it knows of no request that crashes targets, and
  * of no configuration that is newer than the store's.
  */
-const MEETING_MS = 10_000;
+const MAX_STARTUP_MS = 10_000;
 
 /** What asking peers needs of its process. */
-export interface FollowerContext {
+export interface PeerPollerContext {
   readonly rpc: RpcClient;
-  readonly book: PeerBook;
+  readonly directory: PeerDirectory;
   /** Where this process takes calls. */
   readonly from: string;
   /** True while the store itself tells nothing. */
-  needsNews(now: number): boolean;
+  needsUpdates(now: number): boolean;
   /** Peers that watch the store for this process; none: it does itself. */
   watchers(now: number): readonly string[];
-  held(): types.HeldKind[];
+  digests(): types.KindDigest[];
   /** Takes what a peer told. True where it has heard lately. */
-  take(news: readonly types.KindNews[], askedAt: number): boolean;
+  applyUpdates(news: readonly types.KindUpdate[], askedAt: number): boolean;
   /** Takes what a peer knows of requests that crash targets. */
-  takeConvicted(convicted: readonly QuarantineNotice[]): void;
+  applyQuarantines(convicted: readonly QuarantineNotice[]): void;
   /** A peer answered. */
   onAnswer(): void;
 }
 
-export class PeerFollower {
+export class PeerPoller {
   private isClosed = false;
-  private greetedAt = -Infinity;
+  private lastDiscoveryAt = -Infinity;
   private timer: NodeJS.Timeout | undefined;
   private readonly startedAt = performance.now();
   /** A peer has answered. */
-  private hasMet = false;
+  private hasPeerAnswered = false;
 
-  constructor(private readonly context: FollowerContext) {}
+  constructor(private readonly context: PeerPollerContext) {}
 
   /** Begins to ask, after a head start for the store. */
   start(): void {
-    this.timer = setTimeout(() => void this.round(), ROUND_MS);
+    this.timer = setTimeout(() => void this.poll(), POLL_INTERVAL_MS);
   }
 
   close(): void {
@@ -79,17 +79,24 @@
     clearTimeout(this.timer);
   }
 
-  private async round(): Promise<void> {
-    const {book} = this.context;
+  private async poll(): Promise<void> {
+    const {directory} = this.context;
     const now = performance.now();
-    const watcher = book.oneOf(this.context.watchers(now));
+    const watcher = directory.chooseFrom(this.context.watchers(now));
     if (watcher !== undefined) {
-      await this.ask(watcher, WATCHER_ANSWER_MS);
-    } else if (this.context.needsNews(now)) {
-      await Promise.all(book.toAsk(ASKED).map(peer => this.ask(peer)));
-    } else if (now - this.greetedAt > GREETING_MS || this.isNew(now)) {
-      this.greetedAt = now;
-      await Promise.all(book.toGreet().map(peer => this.ask(peer)));
+      await this.pollPeer(watcher, WATCHER_ANSWER_TIMEOUT_MS);
+    } else if (this.context.needsUpdates(now)) {
+      await Promise.all(
+        directory.chooseToPoll(PEERS_PER_POLL).map(peer => this.pollPeer(peer)),
+      );
+    } else if (
+      now - this.lastDiscoveryAt > DISCOVERY_INTERVAL_MS ||
+      this.isStartingUp(now)
+    ) {
+      this.lastDiscoveryAt = now;
+      await Promise.all(
+        directory.chooseRandom().map(peer => this.pollPeer(peer)),
+      );
     }
     if (!this.isClosed) {
       this.start();
@@ -97,26 +104,29 @@
   }
 
   /** True for a while where no peer has answered since the start. */
-  private isNew(now: number): boolean {
-    return !this.hasMet && now - this.startedAt < MEETING_MS;
+  private isStartingUp(now: number): boolean {
+    return !this.hasPeerAnswered && now - this.startedAt < MAX_STARTUP_MS;
   }
 
-  private async ask(peer: string, answerMs = ANSWER_MS): Promise<void> {
-    const {rpc, book, from} = this.context;
+  private async pollPeer(
+    peer: string,
+    answerMs = ANSWER_TIMEOUT_MS,
+  ): Promise<void> {
+    const {rpc, directory, from} = this.context;
     const askedAt = performance.now();
-    const params = {from, held: this.context.held()};
-    const answer = await rpc.call(peer, app.news, params, answerMs);
+    const params = {from, held: this.context.digests()};
+    const answer = await rpc.call(peer, app.pullUpdates, params, answerMs);
     if (this.isClosed) {
       return;
     }
     let isHelpful = false;
     if (answer.ok) {
       this.context.onAnswer();
-      this.hasMet = true;
-      book.learn(answer.value.peers);
-      this.context.takeConvicted(answer.value.convicted);
-      isHelpful = this.context.take(answer.value.kinds, askedAt);
+      this.hasPeerAnswered = true;
+      directory.add(answer.value.peers);
+      this.context.applyQuarantines(answer.value.convicted);
+      isHelpful = this.context.applyUpdates(answer.value.kinds, askedAt);
     }
-    book.note(peer, answer.ok, isHelpful);
+    directory.recordCall(peer, answer.ok, isHelpful);
   }
 }
--- a/src/peers/app.ts
+++ b/src/peers/rpc-methods.ts
@@ -8,15 +8,15 @@
  * Asks a peer what it knows of the store's objects, and makes the caller known
  * to it. A peer that has never heard of a kind leaves it out.
  */
-export const news = rpc.method(
+export const pullUpdates = rpc.method(
   'peers.news',
   v.object({
     /** Where the caller takes calls. */
     from: v.string(),
-    held: v.array(types.heldKindSchema),
+    held: v.array(types.kindDigestSchema),
   }),
   v.object({
-    kinds: v.array(types.kindNewsSchema),
+    kinds: v.array(types.kindUpdateSchema),
     /** Where other processes of the same role take calls. */
     peers: v.array(v.string()),
     /** Requests that crash the targets that run them. */
--- a/src/peers/types.ts
+++ b/src/peers/types.ts
@@ -2,21 +2,21 @@
 import * as v from 'valibot';
 import * as objects from '../platform/types';
 
-const whole = v.pipe(v.number(), v.integer(), v.minValue(0));
+const wholeNumberSchema = v.pipe(v.number(), v.integer(), v.minValue(0));
 
 /** What a process holds of one kind of objects. */
-export const heldKindSchema = v.object({
+export const kindDigestSchema = v.object({
   kind: v.string(),
   /** Of the keys and versions held; equal digests, equal objects. */
-  digest: whole,
+  digest: wholeNumberSchema,
 });
-export type HeldKind = v.InferOutput<typeof heldKindSchema>;
+export type KindDigest = v.InferOutput<typeof kindDigestSchema>;
 
 /** What a peer knows of one kind of objects. */
-export const kindNewsSchema = v.object({
+export const kindUpdateSchema = v.object({
   kind: v.string(),
   /** The store's revision as of which the objects are known. */
-  revision: whole,
+  revision: wholeNumberSchema,
   /** Milliseconds since the store last said that nothing newer exists. */
   ageMs: v.pipe(v.number(), v.minValue(0)),
   /** An outage has just ended: entries may still be coming back. */
@@ -24,4 +24,4 @@
   /** Left out where the asking process holds the same. */
   items: v.optional(v.array(objects.objectSchema)),
 });
-export type KindNews = v.InferOutput<typeof kindNewsSchema>;
+export type KindUpdate = v.InferOutput<typeof kindUpdateSchema>;
--- a/src/peers/watch-duty.test.ts
+++ b/src/peers/watcher-election.test.ts
@@ -1,4 +1,4 @@
-import * as duties from './watch-duty';
+import * as duties from './watcher-election';
 
 const entries = Array.from({length: 35}, (_, at) => `10.0.${at}.1:7340`);
 const FRESH_MS = 400;
@@ -6,23 +6,23 @@
 function watching(known: (own: string) => readonly string[], ageMs: number) {
   return entries.filter(own => {
     const peers = known(own).filter(address => address !== own);
-    return new duties.WatchDuty(own).isDue(peers, ageMs, 50_000);
+    return new duties.WatcherElection(own).shouldWatch(peers, ageMs, 50_000);
   });
 }
 
 describe('who watches the store', () => {
   it('is a few of many, the same ones in every view', () => {
     const few = watching(() => entries, FRESH_MS);
-    expect(few).toHaveLength(duties.WATCHERS);
-    expect([...few].sort()).toEqual([...duties.watchersOf(entries)].sort());
+    expect(few).toHaveLength(duties.WATCHER_COUNT);
+    expect([...few].sort()).toEqual([...duties.electWatchers(entries)].sort());
   });
 
   it('is everybody where there are few', () => {
-    const three = entries.slice(0, duties.WATCHERS);
+    const three = entries.slice(0, duties.WATCHER_COUNT);
     three.forEach(own => {
       const peers = three.filter(address => address !== own);
-      const duty = new duties.WatchDuty(own);
-      expect(duty.isDue(peers, FRESH_MS, 50_000)).toBe(true);
+      const duty = new duties.WatcherElection(own);
+      expect(duty.shouldWatch(peers, FRESH_MS, 50_000)).toBe(true);
     });
   });
 
@@ -35,13 +35,13 @@
 
   it('is whoever hears late, for some seconds', () => {
     const [own] = entries.filter(
-      one => !duties.watchersOf(entries).includes(one),
+      one => !duties.electWatchers(entries).includes(one),
     ) as [string];
     const peers = entries.filter(one => one !== own);
-    const duty = new duties.WatchDuty(own);
-    expect(duty.isDue(peers, FRESH_MS, 50_000)).toBe(false);
-    expect(duty.isDue(peers, 2_000, 50_300)).toBe(true);
-    expect(duty.isDue(peers, FRESH_MS, 51_000)).toBe(true);
-    expect(duty.isDue(peers, FRESH_MS, 58_400)).toBe(false);
+    const duty = new duties.WatcherElection(own);
+    expect(duty.shouldWatch(peers, FRESH_MS, 50_000)).toBe(false);
+    expect(duty.shouldWatch(peers, 2_000, 50_300)).toBe(true);
+    expect(duty.shouldWatch(peers, FRESH_MS, 51_000)).toBe(true);
+    expect(duty.shouldWatch(peers, FRESH_MS, 58_400)).toBe(false);
   });
 });
--- a/src/platform/memory-store.ts
+++ b/src/platform/memory-store.ts
@@ -8,15 +8,15 @@
 
 export class MemoryStore extends ObjectApi {
   isDown = false;
-  answersToLose = 0;
-  calls = 0;
-  listed: readonly Instance[] = [];
+  responsesToDrop = 0;
+  callCount = 0;
+  instanceList: readonly Instance[] = [];
   private readonly objects = new Map<string, StoredObject>();
   private readonly waiters = new Set<() => void>();
   private revision = 0;
 
   async get(key: string): Promise<Result<StoredObject | null, PlatformError>> {
-    this.calls += 1;
+    this.callCount += 1;
     return this.isDown ? unavailable(false) : ok(this.peek(key) ?? null);
   }
 
@@ -25,7 +25,7 @@
     value: unknown,
     expected: number,
   ): Promise<Result<number, PlatformError>> {
-    this.calls += 1;
+    this.callCount += 1;
     if (this.isDown) {
       return unavailable(true);
     }
@@ -37,15 +37,15 @@
     const copy: unknown = JSON.parse(JSON.stringify(value));
     this.objects.set(key, {key, version: this.revision, value: copy});
     [...this.waiters].forEach(wake => wake());
-    if (this.answersToLose > 0) {
-      this.answersToLose -= 1;
+    if (this.responsesToDrop > 0) {
+      this.responsesToDrop -= 1;
       return unavailable(true);
     }
     return ok(this.revision);
   }
 
   async list(prefix: string): Promise<Result<Listing, PlatformError>> {
-    this.calls += 1;
+    this.callCount += 1;
     return this.isDown ? unavailable(false) : ok(this.listAfter(prefix, 0));
   }
 
@@ -55,7 +55,7 @@
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<Result<Listing, PlatformError>> {
-    this.calls += 1;
+    this.callCount += 1;
     if (this.isDown) {
       return unavailable(false);
     }
@@ -66,8 +66,8 @@
   }
 
   async instances(): Promise<Result<readonly Instance[], PlatformError>> {
-    this.calls += 1;
-    return this.isDown ? unavailable(false) : ok(this.listed);
+    this.callCount += 1;
+    return this.isDown ? unavailable(false) : ok(this.instanceList);
   }
 
   /** Reads past any outage. */
--- a/src/platform/revisions.ts
+++ b/src/platform/revisions.ts
@@ -7,23 +7,23 @@
  */
 
 /** Revisions of an era: years of writes at 10,000 a second. */
-const ERA_UNIT = 2 ** 40;
+const REVISIONS_PER_ERA = 2 ** 40;
 /** Eras that fit beside them into a whole number that is exact. */
-export const LAST_ERA = 2 ** 12;
+export const MAX_ERA = 2 ** 12;
 
 /** An era and a revision within it; 0: none. */
 export type StoreRevision = number;
 
-export function inEra(era: number, revision: number): StoreRevision {
-  return Math.min(era, LAST_ERA) * ERA_UNIT + revision;
+export function combine(era: number, revision: number): StoreRevision {
+  return Math.min(era, MAX_ERA) * REVISIONS_PER_ERA + revision;
 }
 
 /** The era; 0 of a store that names none. */
 export function eraOf(revision: StoreRevision): number {
-  return Math.floor(revision / ERA_UNIT);
+  return Math.floor(revision / REVISIONS_PER_ERA);
 }
 
 /** As the store itself counts it. */
-export function withinEra(revision: StoreRevision): number {
-  return revision % ERA_UNIT;
+export function revisionInEra(revision: StoreRevision): number {
+  return revision % REVISIONS_PER_ERA;
 }
--- a/src/platform/watch-loop.ts
+++ b/src/platform/watch-loop.ts
@@ -10,10 +10,10 @@
  * Pause after a change before the next watch, so that changes that come in
  * quick succession are told in one answer. Each call is paid for.
  */
-export const SETTLE_MS = 200;
+export const BATCH_DELAY_MS = 200;
 /** First pause after a failed call, and the longest, in milliseconds. */
-const FIRST_PAUSE_MS = 100;
-const LONGEST_PAUSE_MS = 500;
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 500;
 
 /** What the loop has learnt. */
 export type WatchEvent =
@@ -34,10 +34,10 @@
   private readonly stop = new AbortController();
   private revision: number | undefined;
   private watch = new AbortController();
-  private isLost = false;
+  private isUnavailable = false;
   /** Of the watch under way. */
-  private askedMs = 0;
-  private pauseMs = FIRST_PAUSE_MS;
+  private currentWaitMs = 0;
+  private backoffMs = INITIAL_BACKOFF_MS;
 
   /** `waitMs`: how long the next watch waits for a change. */
   constructor(
@@ -51,7 +51,7 @@
     while (!this.stop.signal.aborted) {
       const askedAt = performance.now();
       const isFirst = this.revision === undefined;
-      const answer = await this.ask();
+      const answer = await this.request();
       if (this.stop.signal.aborted) {
         return;
       }
@@ -59,12 +59,12 @@
         // Whatever it says, nobody waited for it to the end.
         this.revision = undefined;
       } else if (answer.ok) {
-        const hasNews = this.take(isFirst, answer.value, askedAt);
-        await pause(hasNews && !isFirst ? SETTLE_MS : 0);
+        const hasNews = this.applyListing(isFirst, answer.value, askedAt);
+        await pause(hasNews && !isFirst ? BATCH_DELAY_MS : 0);
       } else if (answer.error.kind === 'watch-too-old') {
         this.revision = undefined;
       } else {
-        await this.sitOut(answer.error);
+        await this.backOff(answer.error);
       }
     }
   }
@@ -80,46 +80,50 @@
     this.events.complete();
   }
 
-  private ask() {
+  private request() {
     const prefix = `${this.kind}/`;
     this.watch = new AbortController();
-    this.askedMs = this.waitMs();
+    this.currentWaitMs = this.waitMs();
     return this.revision === undefined
       ? this.store.list(prefix)
       : this.store.watch(
           prefix,
           this.revision,
-          this.askedMs,
+          this.currentWaitMs,
           this.watch.signal,
         );
   }
 
   /** True where the answer held something. */
-  private take(isFirst: boolean, listing: Listing, askedAt: number): boolean {
+  private applyListing(
+    isFirst: boolean,
+    listing: Listing,
+    askedAt: number,
+  ): boolean {
     this.revision = listing.revision;
-    this.isLost = false;
-    this.pauseMs = FIRST_PAUSE_MS;
+    this.isUnavailable = false;
+    this.backoffMs = INITIAL_BACKOFF_MS;
     const hasNews = listing.items.length > 0 || listing.removed.length > 0;
     if (isFirst || hasNews) {
       const kind = isFirst ? 'listed' : 'changed';
       this.events.next({kind, listing});
     }
     // A watch that waited in vain was answered after its whole wait.
-    const waitedMs = isFirst || hasNews ? 0 : this.askedMs;
+    const waitedMs = isFirst || hasNews ? 0 : this.currentWaitMs;
     const since = Math.min(askedAt + waitedMs, performance.now());
     this.events.next({kind: 'contact', since});
     return hasNews;
   }
 
   /** After an outage everything is listed anew: watches may have gaps. */
-  private async sitOut(error: PlatformError): Promise<void> {
+  private async backOff(error: PlatformError): Promise<void> {
     this.revision = undefined;
-    if (!this.isLost) {
-      this.isLost = true;
+    if (!this.isUnavailable) {
+      this.isUnavailable = true;
       this.events.next({kind: 'lost', error});
     }
-    await pause(this.pauseMs);
-    this.pauseMs = Math.min(this.pauseMs * 2, LONGEST_PAUSE_MS);
+    await pause(this.backoffMs);
+    this.backoffMs = Math.min(this.backoffMs * 2, MAX_BACKOFF_MS);
   }
 }
 
--- a/src/random.ts
+++ b/src/random.ts
@@ -18,19 +18,19 @@
 }
 
 /** A number in [0, 1). */
-export function unit(): number {
+export function uniform(): number {
   const RANGE = 2 ** 32;
   return (generator.next() >>> 0) / RANGE;
 }
 
 /** A whole number in [0, limit). */
-export function below(limit: number): number {
-  return Math.floor(unit() * limit);
+export function integerBelow(limit: number): number {
+  return Math.floor(uniform() * limit);
 }
 
 /** One element of a list that is not empty. */
 export function pick<T>(list: readonly T[]): T {
-  return list[below(list.length)]!;
+  return list[integerBelow(list.length)]!;
 }
 
 /** Some elements of a list, each at most once, in random order. */
@@ -38,17 +38,17 @@
   const left = [...list];
   const drawn: T[] = [];
   while (drawn.length < count && left.length > 0) {
-    drawn.push(...left.splice(below(left.length), 1));
+    drawn.push(...left.splice(integerBelow(left.length), 1));
   }
   return drawn;
 }
 
 /** A duration between half and one and a half of the given one. */
 export function jitter(milliseconds: number): number {
-  return milliseconds * (0.5 + unit());
+  return milliseconds * (0.5 + uniform());
 }
 
 /** A draw from the exponential distribution with the given mean. */
 export function exponential(mean: number): number {
-  return -Math.log(1 - unit()) * mean;
+  return -Math.log(1 - uniform()) * mean;
 }
--- a/src/requests/entry-handler.ts
+++ b/src/requests/entry-handler.ts
@@ -134,7 +134,7 @@
       return fail(refusals.notRun('unauthorized', 'no bearer token'));
     }
     const digest = headers.sha256Hex(match[1]!);
-    const account = this.context.follower.replica.accountOfDigest(digest);
+    const account = this.context.follower.replica.accountByKeyDigest(digest);
     const held = account?.keyDigests.some(own =>
       headers.equalDigests(own, digest),
     );
--- a/src/roles/emptied-halls.ts
+++ b/src/roles/drained-halls.ts
@@ -4,24 +4,24 @@
  * operator writes it again.
  */
 import type {Log} from '../observability/log';
-import {KindCopy} from '../peers/kind-copy';
-import type {KindNews} from '../peers/types';
+import {KindReplica} from '../peers/kind-replica';
+import type {KindUpdate} from '../peers/types';
 import * as revisions from '../platform/revisions';
 import * as objects from '../platform/types';
 import type {WatchEvent} from '../platform/watch-loop';
 
 /** Time in which the operator has written again, in milliseconds. */
-const WRITTEN_AGAIN_MS = 4_000;
+const ROLLBACK_RETENTION_MS = 4_000;
 
-export class EmptiedHalls {
-  readonly copy: KindCopy;
+export class DrainedHalls {
+  readonly replica: KindReplica;
   /** Halls that get nothing. */
   private halls: ReadonlySet<string> = new Set();
   /** Those that the store lists. */
   private listed: ReadonlySet<string> = new Set();
   /** Those of before it came back from a copy, while they count. */
-  private kept: ReadonlySet<string> = new Set();
-  private keptTimer: NodeJS.Timeout | undefined;
+  private retained: ReadonlySet<string> = new Set();
+  private retainedTimer: NodeJS.Timeout | undefined;
   /** Of the store's last word. */
   private era = 0;
 
@@ -31,26 +31,28 @@
     private readonly apply: (halls: ReadonlySet<string>) => void,
     private readonly log: Log,
   ) {
-    this.copy = new KindCopy(kind);
+    this.replica = new KindReplica(kind);
   }
 
   /** Takes what the own watch says. */
-  take(event: WatchEvent): void {
-    if (this.copy.take(event)) {
-      this.note(event);
+  applyWatchEvent(event: WatchEvent): void {
+    if (this.replica.applyWatchEvent(event)) {
+      this.applyEvent(event);
     }
   }
 
   /** Takes what a peer was asked for at `askedAt`. */
-  offer(news: KindNews, askedAt: number): void {
-    this.copy.offer(news, askedAt).forEach(event => this.note(event));
+  applyPeerUpdate(news: KindUpdate, askedAt: number): void {
+    this.replica
+      .applyPeerUpdate(news, askedAt)
+      .forEach(event => this.applyEvent(event));
   }
 
   close(): void {
-    clearTimeout(this.keptTimer);
+    clearTimeout(this.retainedTimer);
   }
 
-  private note(event: WatchEvent): void {
+  private applyEvent(event: WatchEvent): void {
     if (event.kind !== 'listed' && event.kind !== 'changed') {
       return;
     }
@@ -61,23 +63,26 @@
     this.listed = listed;
     const era = revisions.eraOf(revision);
     if (era > this.era && this.halls.size > 0) {
-      this.kept = this.halls;
-      clearTimeout(this.keptTimer);
-      this.keptTimer = setTimeout(() => this.dropKept(), WRITTEN_AGAIN_MS);
-      this.keptTimer.unref();
+      this.retained = this.halls;
+      clearTimeout(this.retainedTimer);
+      this.retainedTimer = setTimeout(
+        () => this.dropRetained(),
+        ROLLBACK_RETENTION_MS,
+      );
+      this.retainedTimer.unref();
     }
     this.era = era;
     this.update();
   }
 
-  private dropKept(): void {
-    this.kept = new Set();
+  private dropRetained(): void {
+    this.retained = new Set();
     this.update();
   }
 
   private update(): void {
     const before = this.halls;
-    this.halls = new Set([...this.listed, ...this.kept]);
+    this.halls = new Set([...this.listed, ...this.retained]);
     this.apply(this.halls);
     [...this.halls]
       .filter(hall => !before.has(hall))
--- a/src/roles/entry.ts
+++ b/src/roles/entry.ts
@@ -23,13 +23,13 @@
 import * as targetsApp from '../targets/app';
 import {TargetDirectory} from '../targets/directory';
 import {ReportPoller} from '../targets/poller';
-import {answerProcessPath} from './process-face';
+import {answerProcessPath} from './process-endpoints';
 import type {EntrySettings} from './settings';
-import {waitUntilIdle} from './stopping';
+import {waitUntilIdle} from './wait-until-idle';
 
-const DEFAULT_SUBSET = 24;
+const DEFAULT_SUBSET_SIZE = 24;
 const DEFAULT_RETRY_SHARE = 0.1;
-const STARTING_RETRY_MS = 1_000;
+const STARTUP_RETRY_AFTER_MS = 1_000;
 
 /** A running entry. */
 export class Entry {
@@ -42,7 +42,7 @@
   private readonly agent: http.Agent = httpClient.makeAgent();
   private readonly metrics = new Metrics();
   private readonly context: EntryContext;
-  private readonly face: EntryHandler;
+  private readonly handler: EntryHandler;
   private readonly subscriptions = new Subscription();
   private listener: httpServer.Listener | undefined;
   private ready = false;
@@ -60,11 +60,11 @@
     this.targets = new TargetDirectory(cfg.id, () => this.subsetSize());
     this.poller = new ReportPoller(this.targets, this.rpc);
     this.context = this.makeContext();
-    this.face = new EntryHandler(
+    this.handler = new EntryHandler(
       this.context,
       new AccountLimits(() => this.shareOfLimits()),
     );
-    this.bindMethods();
+    this.registerHandlers();
   }
 
   /** Where this entry listens. */
@@ -103,10 +103,10 @@
   /** Planned stop: answers what is in flight, takes nothing new. */
   async stop(): Promise<void> {
     this.stopping = true;
-    this.log.event('processStopping', {inFlight: this.face.openCount});
+    this.log.event('processStopping', {inFlight: this.handler.openCount});
     // Callers that come meanwhile are still served: the balancer learns from
     // the readiness check, and a refusal would cost them a try.
-    await waitUntilIdle(() => this.face.openCount, this.cfg.stopPatienceMs);
+    await waitUntilIdle(() => this.handler.openCount, this.cfg.stopPatienceMs);
     this.listener?.drain();
     await this.close();
   }
@@ -146,8 +146,8 @@
     };
   }
 
-  private bindMethods(): void {
-    this.follower.serve(this.rpcServer);
+  private registerHandlers(): void {
+    this.follower.registerHandlers(this.rpcServer);
     this.rpcServer.handle(journal.explain, params => ({
       entry: this.context.journal.find(params.request),
     }));
@@ -176,7 +176,11 @@
     }
     if (!this.ready) {
       const detail = 'this entry has no configuration yet';
-      const refusal = refusals.notRun('no-target', detail, STARTING_RETRY_MS);
+      const refusal = refusals.notRun(
+        'no-target',
+        detail,
+        STARTUP_RETRY_AFTER_MS,
+      );
       refusals.sendRefusal(
         res,
         refusals.withUnconfirmedOutcome(req, refusal),
@@ -188,7 +192,7 @@
       // Ends kept-alive connections as they answer.
       res.setHeader('connection', 'close');
     }
-    await this.face.handle(req, res);
+    await this.handler.handle(req, res);
   }
 
   private becomeReady(): void {
@@ -203,7 +207,7 @@
 
   private subsetSize(): number {
     const [template] = this.follower.replica.allTemplates();
-    return template?.routing.subset ?? DEFAULT_SUBSET;
+    return template?.routing.subset ?? DEFAULT_SUBSET_SIZE;
   }
 
   private retryShare(): number {
--- a/src/roles/process-face.ts
+++ b/src/roles/process-endpoints.ts
@@ -7,7 +7,7 @@
 import {RPC_PATH} from '../rpc/types';
 
 /** What a process shows of itself. */
-export interface ProcessFace {
+export interface ProcessEndpoints {
   readonly rpc: RpcServer;
   readonly metrics: Metrics;
   isReady(): boolean;
@@ -15,7 +15,7 @@
 
 /** Answers a process path; false where the path is none of them. */
 export async function answerProcessPath(
-  face: ProcessFace,
+  face: ProcessEndpoints,
   req: http.IncomingMessage,
   res: http.ServerResponse,
 ): Promise<boolean> {
--- a/src/roles/settings.ts
+++ b/src/roles/settings.ts
@@ -3,15 +3,15 @@
 import {addressSchema} from '../http/address';
 import * as settings from '../settings/types';
 
-const MAX_MS = 86_400_000;
+const MAX_DURATION_MS = 86_400_000;
 
-const listOfAddresses = v.pipe(
+const addressListSchema = v.pipe(
   v.string(),
   v.transform(text => text.split(',').filter(part => part !== '')),
   v.array(addressSchema),
 );
 
-const common = {
+const commonTable = {
   id: {
     schema: settings.nameSchema,
     text: 'name of this instance, unique in the fleet',
@@ -28,7 +28,7 @@
     placeholder: 'ip:port',
   },
   peers: {
-    schema: listOfAddresses,
+    schema: addressListSchema,
     fallback: '',
     text: 'other processes to ask while the platform is down',
     placeholder: 'ip:port,...',
@@ -43,7 +43,7 @@
 
 /** Settings of `entry`. */
 export const entryTable = {
-  ...common,
+  ...commonTable,
   listen: {
     schema: addressSchema,
     fallback: '127.0.0.1:8080',
@@ -57,7 +57,7 @@
     placeholder: 'count',
   },
   stopPatienceMs: {
-    schema: settings.wholeNumber(0, MAX_MS),
+    schema: settings.wholeNumber(0, MAX_DURATION_MS),
     fallback: '600000',
     text: 'longest time that a planned stop waits for requests in flight',
     placeholder: 'ms',
@@ -76,7 +76,7 @@
 
 /** Settings of `sidecar`. */
 export const sidecarTable = {
-  ...common,
+  ...commonTable,
   listen: {
     schema: addressSchema,
     text: 'address towards entries and other processes',
--- a/src/roles/sidecar.ts
+++ b/src/roles/sidecar.ts
@@ -37,16 +37,16 @@
 import {RecentCallers} from '../targets/callers';
 import {EngineProbe} from '../targets/probe';
 import * as targets from '../targets/types';
-import {answerProcessPath} from './process-face';
+import {answerProcessPath} from './process-endpoints';
 import type {SidecarSettings} from './settings';
-import {waitUntilIdle} from './stopping';
+import {waitUntilIdle} from './wait-until-idle';
 
 const BOOT_ID_FILE = '/proc/sys/kernel/random/boot_id';
 const DEFAULT_TIMEOUT_MS = 30_000;
-const FORGET_PERIOD_MS = 10_000;
-const HANDOVER_ROUNDS = 3;
-const HANDOVER_PAUSE_MS = 500;
-const STARTING_RETRY_MS = 1_000;
+const EVICTION_INTERVAL_MS = 10_000;
+const MAX_HANDOVER_ROUNDS = 3;
+const HANDOVER_RETRY_INTERVAL_MS = 500;
+const STARTUP_RETRY_AFTER_MS = 1_000;
 const DEFAULT_SERVICE: Service = {
   repeatable: [],
   timeoutMs: DEFAULT_TIMEOUT_MS,
@@ -68,16 +68,16 @@
   private readonly admission: Admission;
   private readonly callers = new RecentCallers();
   private readonly context: SidecarContext;
-  private readonly assistant: SidecarChat;
+  private readonly chat: SidecarChat;
   private readonly subscriptions = new Subscription();
   private probe: EngineProbe | undefined;
   private rankService: RankService | undefined;
-  private keeper: SlotManager | undefined;
+  private slotManager: SlotManager | undefined;
   private runs: KeyedRuns | undefined;
   private service: SidecarService | undefined;
-  private forgetTimer: NodeJS.Timeout | undefined;
+  private evictionTimer: NodeJS.Timeout | undefined;
   private listener: httpServer.Listener | undefined;
-  private open_ = 0;
+  private openCount = 0;
   private ready = false;
   private leaving = false;
 
@@ -95,8 +95,8 @@
       maxQueued: cfg.maxQueued,
     }));
     this.context = this.makeContext();
-    this.assistant = new SidecarChat(this.context);
-    this.follower.serve(this.rpcServer);
+    this.chat = new SidecarChat(this.context);
+    this.follower.registerHandlers(this.rpcServer);
     this.rpcServer.handle(targetsApp.report, (_params, peer) => {
       this.callers.note(peer.address, Date.now());
       return this.report();
@@ -130,7 +130,7 @@
 
   /** Planned stop: no new work, hand over, finish what runs, end. */
   async stop(): Promise<void> {
-    this.log.event('processStopping', {inFlight: this.open_});
+    this.log.event('processStopping', {inFlight: this.openCount});
     this.leave('stop');
     await this.handOver();
     await waitUntilIdle(() => this.busyCount, this.cfg.stopPatienceMs);
@@ -141,12 +141,12 @@
   /** Ends at once. */
   async close(): Promise<void> {
     this.ready = false;
-    clearTimeout(this.forgetTimer);
+    clearTimeout(this.evictionTimer);
     this.subscriptions.unsubscribe();
     this.probe?.close();
     this.rankService?.close();
-    this.assistant.close();
-    await this.keeper?.close();
+    this.chat.close();
+    await this.slotManager?.close();
     this.follower.close();
     await this.listener?.close();
     this.agent.destroy();
@@ -156,7 +156,7 @@
 
   private get busyCount(): number {
     return (
-      this.open_ + this.assistant.openCount + (this.runs?.runningCount ?? 0)
+      this.openCount + this.chat.openCount + (this.runs?.runningCount ?? 0)
     );
   }
 
@@ -227,42 +227,47 @@
     const service = this.serves.name;
     const settings = () =>
       this.follower.replica.service(service) ?? DEFAULT_SERVICE;
-    const keeper = new SlotManager(
+    const slotManager = new SlotManager(
       () => ({service, ...settings()}),
       this.identity(settings().maxLeadMs),
       this.clock,
       this.store,
       this.log,
-      () => this.liveMates(),
+      () => this.liveTargetIds(),
     );
     const runs = new KeyedRuns(
-      keeper,
+      slotManager,
       this.clock,
       () => settings().slots,
       () => settings().retentionMs,
       this.cfg.maxAnswerBytes,
     );
-    this.keeper = keeper;
+    this.slotManager = slotManager;
     this.runs = runs;
     this.service = new SidecarService(this.context, runs, settings);
-    this.bindClaims(service, keeper, runs);
-    keeper.triggerUpkeep();
-    this.forgetTimer = setInterval(() => runs.evictExpired(), FORGET_PERIOD_MS);
+    this.registerClaimHandlers(service, slotManager, runs);
+    slotManager.triggerUpkeep();
+    this.evictionTimer = setInterval(
+      () => runs.evictExpired(),
+      EVICTION_INTERVAL_MS,
+    );
   }
 
-  private bindClaims(
+  private registerClaimHandlers(
     service: string,
-    keeper: SlotManager,
+    slotManager: SlotManager,
     runs: KeyedRuns,
   ): void {
     handover.serveHandover(
       this.rpcServer,
       service,
-      keeper,
+      slotManager,
       runs,
       () => !this.leaving,
     );
-    this.rpcServer.handle(claimsApp.table, () => ({cells: keeper.listCells()}));
+    this.rpcServer.handle(claimsApp.table, () => ({
+      cells: slotManager.listCells(),
+    }));
     this.rpcServer.handle(claimsApp.burn, params => {
       const key = keys.parseKey(params.key);
       const isOwn = params.service === service && key !== undefined;
@@ -281,7 +286,7 @@
     };
   }
 
-  private liveMates(): string[] {
+  private liveTargetIds(): string[] {
     const mates = this.follower.instances.filter(
       instance =>
         instance.serves === this.cfg.serves && instance.state === 'live',
@@ -301,7 +306,7 @@
       this.leave('platform list');
       void this.handOver();
     }
-    this.keeper?.triggerUpkeep();
+    this.slotManager?.triggerUpkeep();
   }
 
   private leave(by: string): void {
@@ -316,12 +321,12 @@
   }
 
   private async handOver(): Promise<void> {
-    const {keeper, runs} = this;
-    if (keeper === undefined || runs === undefined) {
+    const {slotManager, runs} = this;
+    if (slotManager === undefined || runs === undefined) {
       return;
     }
     const service = this.serves.name;
-    for (let round = 0; round < HANDOVER_ROUNDS; round += 1) {
+    for (let round = 0; round < MAX_HANDOVER_ROUNDS; round += 1) {
       const slots = this.follower.replica.service(service)?.slots ?? 1;
       const mates = this.follower.instances.filter(
         i =>
@@ -330,7 +335,7 @@
           i.id !== this.cfg.id,
       );
       await handover.handOverAll(
-        keeper,
+        slotManager,
         runs,
         service,
         slots,
@@ -338,10 +343,12 @@
         this.rpc,
         this.log,
       );
-      if (keeper.ownSlots().length === 0) {
+      if (slotManager.ownSlots().length === 0) {
         return;
       }
-      await new Promise(resolve => setTimeout(resolve, HANDOVER_PAUSE_MS));
+      await new Promise(resolve =>
+        setTimeout(resolve, HANDOVER_RETRY_INTERVAL_MS),
+      );
     }
   }
 
@@ -385,7 +392,11 @@
     }
     if (!this.ready) {
       const detail = 'this sidecar has no configuration yet';
-      const refusal = refusals.notRun('no-target', detail, STARTING_RETRY_MS);
+      const refusal = refusals.notRun(
+        'no-target',
+        detail,
+        STARTUP_RETRY_AFTER_MS,
+      );
       refusals.sendRefusal(
         res,
         refusals.withUnconfirmedOutcome(req, refusal),
@@ -393,9 +404,9 @@
       );
       return;
     }
-    this.open_ += 1;
+    this.openCount += 1;
     res.once('close', () => {
-      this.open_ -= 1;
+      this.openCount -= 1;
     });
     await this.answerData(req, res);
   }
@@ -416,7 +427,7 @@
     if (url.pathname.startsWith(assistant.STREAMS_PATH)) {
       await this.answerStream(incoming, url);
     } else if (url.pathname === assistant.CHAT_PATH && this.probe) {
-      await this.assistant.run(incoming);
+      await this.chat.run(incoming);
     } else {
       await this.answerService(incoming, req.url ?? '/');
     }
@@ -428,11 +439,11 @@
   ): Promise<void> {
     const request = url.pathname.slice(assistant.STREAMS_PATH.length);
     if (incoming.req.method === 'DELETE') {
-      await this.assistant.cancel(incoming, request);
+      await this.chat.cancel(incoming, request);
       return;
     }
     const after = Number(url.searchParams.get('after') ?? 0);
-    await this.assistant.resume(incoming, request, after);
+    await this.chat.resume(incoming, request, after);
   }
 
   private async answerService(
--- a/src/roles/site-entry.ts
+++ b/src/roles/site-entry.ts
@@ -7,16 +7,16 @@
 import {GroupViews} from '../forwarding/group-views';
 import type {Wire} from '../forwarding/types';
 import * as httpServer from '../http/server';
-import {LostTime} from '../lost-time';
+import {SuspensionDetector} from '../suspension-detector';
 import type {Log} from '../observability/log';
 import {Metrics} from '../observability/metrics';
-import {Reach} from '../peers/reach';
+import {LastContact} from '../peers/last-contact';
 import type {ObjectApi} from '../platform/client';
 import {RpcClient} from '../rpc/client';
 import {RpcServer} from '../rpc/server';
 import type {CallerLimits} from '../routes/types';
-import {serveMetrics} from './metrics-face';
-import {serveRpc} from './rpc-face';
+import {serveMetrics} from './metrics-endpoint';
+import {serveRpc} from './rpc-endpoint';
 import type {SiteDocuments} from './site-documents';
 import {SiteFollower} from './site-follower';
 import type {SiteSettings} from './site-settings';
@@ -25,25 +25,25 @@
  * After a planned stop: milliseconds until connections are closed. By then
  * the platform has seen two failed status checks and sends no new ones.
  */
-const CLOSE_CONNECTIONS_MS = 2_500;
+const CLOSE_CONNECTIONS_DELAY_MS = 2_500;
 /** How often idle connections are closed after that, in milliseconds. */
-const SWEEP_MS = 100;
+const CLOSE_IDLE_INTERVAL_MS = 100;
 /** Part of the grace period after which the process ends anyway. */
-const GRACE_SHARE = 0.95;
+const GRACE_PERIOD_SHARE = 0.95;
 
 export class SiteEntry {
   private readonly site: SiteFollower;
-  private readonly loads: LoadBalancer;
+  private readonly balancer: LoadBalancer;
   private readonly rpc = new RpcClient();
   private readonly rpcServer: RpcServer;
-  private readonly reach = new Reach();
-  private readonly lostTime = new LostTime();
+  private readonly lastContact = new LastContact();
+  private readonly suspensionDetector = new SuspensionDetector();
   private readonly views: GroupViews;
   private readonly connections = new TargetConnections();
   private readonly forwarder: Forwarder;
   private readonly metrics = new Metrics();
   private readonly servers: http.Server[] = [];
-  private callers: http.Server | undefined;
+  private callerServer: http.Server | undefined;
   private isStopping = false;
 
   constructor(
@@ -60,8 +60,8 @@
       store,
       rpc: this.rpc,
       rpcAddress: this.rpcAddress,
-      reach: this.reach,
-      lostTime: this.lostTime,
+      lastContact: this.lastContact,
+      suspensionDetector: this.suspensionDetector,
       log,
       onLimits: limits => this.applyLimits(limits),
       onTargets: () => this.onTargets(),
@@ -70,11 +70,11 @@
     const gate = new GroupGate();
     this.views = new GroupViews({
       rpc: this.rpc,
-      reach: this.reach,
+      reach: this.lastContact,
       hall: cfg.hall,
       rpcPort: cfg.rpcPort,
       ranks: () => targets.ranks(),
-      knownEntryCount: () => this.site.knownEntries,
+      knownEntryCount: () => this.site.knownEntryCount,
       onGroupState: ({service, group}, isOpen, at) => {
         const word = group && gate.noteReport(group, isOpen, at);
         if (word !== undefined && word !== 'known') {
@@ -82,10 +82,10 @@
           log.event(event, {service, group, by: 'sidecar'});
         }
       },
-      inFlight: lifetime => this.loads.inFlight(lifetime),
+      inFlight: lifetime => this.balancer.inFlight(lifetime),
     });
-    this.loads = new LoadBalancer(cfg.hall, this.views);
-    this.lostTime.lost.subscribe(lostMs => {
+    this.balancer = new LoadBalancer(cfg.hall, this.views);
+    this.suspensionDetector.suspensions.subscribe(lostMs => {
       this.site.age(lostMs);
       this.views.clear();
     });
@@ -94,15 +94,15 @@
       wire,
       configuration,
       targets,
-      balancer: this.loads,
+      balancer: this.balancer,
       gate,
       views: this.views,
-      reach: this.reach,
+      reach: this.lastContact,
       connections: this.connections,
       crashes: this.site.crashes,
-      knownEntryCount: () => this.site.knownEntries,
-      whenRoutable: waitMs => this.site.whenComplete(waitMs),
-      isIsolated: () => this.site.isCutOff(performance.now()),
+      knownEntryCount: () => this.site.knownEntryCount,
+      whenRoutable: waitMs => this.site.whenRoutable(waitMs),
+      isIsolated: () => this.site.isIsolated(performance.now()),
       log,
       metrics: this.metrics,
     });
@@ -112,8 +112,8 @@
   get isReady(): boolean {
     return (
       !this.isStopping &&
-      this.site.isComplete &&
-      !this.site.isCutOff(performance.now())
+      this.site.isRoutable &&
+      !this.site.isIsolated(performance.now())
     );
   }
 
@@ -125,7 +125,7 @@
   /** Listens and starts to follow the store. */
   async open(): Promise<void> {
     const {cfg} = this;
-    this.callers = await httpServer.bind(
+    this.callerServer = await httpServer.bind(
       cfg.callersAddress ?? `${cfg.host}:0`,
       http.createServer((req, res) => this.answer(req, res)),
     );
@@ -152,31 +152,32 @@
 
   /** Planned stop: answers what was read, then ends. */
   async stop(): Promise<void> {
-    const endsAt = performance.now() + this.cfg.gracePeriodMs * GRACE_SHARE;
+    const endsAt =
+      performance.now() + this.cfg.gracePeriodMs * GRACE_PERIOD_SHARE;
     this.isStopping = true;
     this.forwarder.stop();
     const {openCount} = this.forwarder;
     this.log.event('processStopping', {inFlight: openCount});
-    await sleep(CLOSE_CONNECTIONS_MS);
-    this.callers?.close();
-    this.callers?.closeIdleConnections();
+    await sleep(CLOSE_CONNECTIONS_DELAY_MS);
+    this.callerServer?.close();
+    this.callerServer?.closeIdleConnections();
     while (this.forwarder.openCount > 0 && performance.now() < endsAt) {
-      await sleep(SWEEP_MS);
-      this.callers?.closeIdleConnections();
+      await sleep(CLOSE_IDLE_INTERVAL_MS);
+      this.callerServer?.closeIdleConnections();
     }
     this.close();
   }
 
   /** Ends at once. */
   close(): void {
-    this.lostTime.close();
+    this.suspensionDetector.close();
     this.site.close();
     for (const server of this.servers) {
       server.close();
       server.closeAllConnections();
     }
-    this.callers?.close();
-    this.callers?.closeAllConnections();
+    this.callerServer?.close();
+    this.callerServer?.closeAllConnections();
     this.connections.close();
     this.views.close();
     this.rpc.close();
@@ -184,7 +185,7 @@
   }
 
   private answer(req: http.IncomingMessage, res: http.ServerResponse): void {
-    this.lostTime.look();
+    this.suspensionDetector.check();
     this.forwarder.handle(req, res).catch(err => {
       this.log.event('requestFault', {error: String((err as Error).stack)});
       res.destroy();
@@ -192,16 +193,16 @@
   }
 
   private applyLimits(limits: CallerLimits): void {
-    if (this.callers !== undefined) {
-      this.callers.keepAliveTimeout = limits.idleTimeoutMs;
-      this.callers.headersTimeout = limits.headerTimeoutMs;
+    if (this.callerServer !== undefined) {
+      this.callerServer.keepAliveTimeout = limits.idleTimeoutMs;
+      this.callerServer.headersTimeout = limits.headerTimeoutMs;
     }
   }
 
   private onTargets(): void {
     this.views.pollNewGroups();
     const {lifetimes} = this.site.targets;
-    this.loads.retain(lifetime => lifetimes.has(lifetime));
+    this.balancer.retain(lifetime => lifetimes.has(lifetime));
   }
 
   private get rpcAddress(): string {
--- a/src/roles/site-follower.ts
+++ b/src/roles/site-follower.ts
@@ -7,16 +7,16 @@
 import {LimitCoordinator} from '../targets/limit-coordinator';
 import {TargetChange, TargetList} from '../forwarding/target-list';
 import type {Target} from '../forwarding/types';
-import type {LostTime} from '../lost-time';
+import type {SuspensionDetector} from '../suspension-detector';
 import type {Log} from '../observability/log';
-import * as peersApp from '../peers/app';
-import {KindCopy} from '../peers/kind-copy';
-import {PeerBook} from '../peers/peer-book';
-import {PeerFollower} from '../peers/peer-follower';
-import {PeerOrder} from '../peers/peer-order';
-import type {Reach} from '../peers/reach';
-import * as watchDuty from '../peers/watch-duty';
-import type {KindNews} from '../peers/types';
+import * as peersApp from '../peers/rpc-methods';
+import {KindReplica} from '../peers/kind-replica';
+import {PeerDirectory} from '../peers/peer-directory';
+import {PeerPoller} from '../peers/peer-poller';
+import {PeerRanking} from '../peers/peer-ranking';
+import type {LastContact} from '../peers/last-contact';
+import * as watchDuty from '../peers/watcher-election';
+import type {KindUpdate} from '../peers/types';
 import type {ObjectApi} from '../platform/client';
 import * as revisions from '../platform/revisions';
 import type {StoreRevision} from '../platform/revisions';
@@ -27,7 +27,7 @@
 import {CurrentConfiguration} from '../routes/current';
 import type {Result} from '../result';
 import type {CallerLimits, Snapshot} from '../routes/types';
-import {EmptiedHalls} from './emptied-halls';
+import {DrainedHalls} from './drained-halls';
 import type {DocumentError, SiteDocuments} from './site-documents';
 import type {SiteSettings} from './site-settings';
 
@@ -37,32 +37,32 @@
  */
 const CONFIGURATION_WAIT_MS = 1_800;
 /** And where others rely on it, who hear of it some tenths of a second later. */
-const SHARED_WAIT_MS = 1_000;
+const SHARED_CONFIGURATION_WAIT_MS = 1_000;
 /**
  * Milliseconds that a watch of the targets waits. It need not tell that the
  * store is out of reach: the other watch does.
  */
 const TARGETS_WAIT_MS = 20_000;
 /** And a watch of the halls that the operator has emptied; the store's longest. */
-const EMPTIED_HALLS_WAIT_MS = 30_000;
+const DRAINED_HALLS_WAIT_MS = 30_000;
 /** Time after an outage in which entries may still be coming back. */
 const OUTAGE_GRACE_MS = 1_000;
 /**
  * Milliseconds without the store after which peers are asked, where no call
  * has failed: a watch's wait, and the time of a store that is a little slow.
  */
-const SILENT_MS = 2_000;
+const MAX_STORE_SILENCE_MS = 2_000;
 /**
  * Milliseconds without an answer from any other process after which this one
  * counts as cut off: some rounds of questions to peers.
  */
-const CUT_OFF_MS = 1_500;
+const ISOLATION_TIMEOUT_MS = 1_500;
 
 /** The store's kinds, as this process watches them itself. */
 interface WatchLoops {
   readonly configuration: WatchLoop;
   readonly targets: WatchLoop;
-  readonly emptiedHalls: WatchLoop;
+  readonly drainedHalls: WatchLoop;
 }
 
 /** What following a site needs of its process. */
@@ -73,8 +73,8 @@
   readonly rpc: RpcClient;
   /** Where this process takes calls. */
   readonly rpcAddress: string;
-  readonly reach: Reach;
-  readonly lostTime: LostTime;
+  readonly lastContact: LastContact;
+  readonly suspensionDetector: SuspensionDetector;
   readonly log: Log;
   onLimits(limits: CallerLimits): void;
   onTargets(): void;
@@ -82,45 +82,45 @@
 
 export class SiteFollower {
   readonly configuration = new CurrentConfiguration();
-  readonly targets = new TargetList(change => this.logTarget(change));
+  readonly targets = new TargetList(change => this.logTargetChange(change));
   private loops: WatchLoops | undefined;
-  private readonly duty: watchDuty.WatchDuty;
-  private readonly configurationCopy: KindCopy;
+  private readonly watcherElection: watchDuty.WatcherElection;
+  private readonly configurationReplica: KindReplica;
   private readonly snapshots = new WeakMap<
     objects.StoredObject,
     Result<Snapshot, DocumentError>
   >();
-  private readonly targetsCopy: KindCopy;
-  private readonly emptiedHalls: EmptiedHalls;
+  private readonly targetsReplica: KindReplica;
+  private readonly drainedHalls: DrainedHalls;
   /** Of the store's last word on targets; undefined before the first. */
   private era: number | undefined;
-  private readonly book: PeerBook;
-  private readonly peers: PeerFollower;
+  private readonly peerDirectory: PeerDirectory;
+  private readonly peerPoller: PeerPoller;
   private readonly limits: LimitCoordinator;
   /** Requests that crash targets. */
   readonly crashes: CrashCoordinator;
   /** Emits once requests can be routed, now or at any time before. */
-  private readonly completed = new rxjs.ReplaySubject<void>(1);
-  private isLost = false;
+  private readonly becameRoutable = new rxjs.ReplaySubject<void>(1);
+  private isStoreDown = false;
   private graceUntil = 0;
-  private hasHadTargets = false;
+  private hasSeenTargets = false;
 
   constructor(private readonly context: SiteFollowerContext) {
     const {documents, cfg} = context;
     const {configurationKind, targetsKind, emptiedHallsKind} = documents;
-    this.duty = new watchDuty.WatchDuty(context.rpcAddress);
-    this.configurationCopy = new KindCopy(configurationKind, object => {
+    this.watcherElection = new watchDuty.WatcherElection(context.rpcAddress);
+    this.configurationReplica = new KindReplica(configurationKind, object => {
       const read = this.readSnapshot(object);
       return read.ok ? read.value.version : undefined;
     });
-    this.targetsCopy = new KindCopy(targetsKind);
-    this.emptiedHalls = new EmptiedHalls(
+    this.targetsReplica = new KindReplica(targetsKind);
+    this.drainedHalls = new DrainedHalls(
       emptiedHallsKind,
       halls => this.targets.setDrainedHalls(halls),
       context.log,
     );
-    this.book = new PeerBook(context.rpcAddress, cfg.seeds);
-    const peers = new PeerOrder(context.rpcAddress, this.book);
+    this.peerDirectory = new PeerDirectory(context.rpcAddress, cfg.seeds);
+    const peers = new PeerRanking(context.rpcAddress, this.peerDirectory);
     this.crashes = new CrashCoordinator({
       rpc: context.rpc,
       peers,
@@ -136,31 +136,35 @@
         context.log.event(event, {target: lifetime, by: 'peer'});
       },
     });
-    this.peers = new PeerFollower({
+    this.peerPoller = new PeerPoller({
       rpc: context.rpc,
-      book: this.book,
+      directory: this.peerDirectory,
       from: context.rpcAddress,
-      needsNews: now =>
-        this.isLost || this.configuration.ageMs(now) > SILENT_MS,
-      watchers: now => this.watchersFor(now),
-      held: () => this.copies.map(copy => copy.held),
-      take: (news, askedAt) => this.takeNews(news, askedAt),
-      takeConvicted: convicted => this.crashes.applyNotices(convicted),
-      onAnswer: () => context.reach.note(),
+      needsUpdates: now =>
+        this.isStoreDown ||
+        this.configuration.ageMs(now) > MAX_STORE_SILENCE_MS,
+      watchers: now => this.updateWatching(now),
+      digests: () => this.replicas.map(copy => copy.currentDigest),
+      applyUpdates: (news, askedAt) => this.applyPeerUpdates(news, askedAt),
+      applyQuarantines: convicted => this.crashes.applyNotices(convicted),
+      onAnswer: () => context.lastContact.recordAnswer(),
     });
   }
 
   /** True once requests can be routed somewhere. */
-  get isComplete(): boolean {
-    return this.configuration.table !== undefined && this.hasHadTargets;
+  get isRoutable(): boolean {
+    return this.configuration.table !== undefined && this.hasSeenTargets;
   }
 
   /** Resolves once requests can be routed somewhere, or after the wait. */
-  async whenComplete(waitMs: number): Promise<void> {
-    if (!this.isComplete) {
-      await rxjs.firstValueFrom(rxjs.race(this.completed, rxjs.timer(waitMs)), {
-        defaultValue: undefined,
-      });
+  async whenRoutable(waitMs: number): Promise<void> {
+    if (!this.isRoutable) {
+      await rxjs.firstValueFrom(
+        rxjs.race(this.becameRoutable, rxjs.timer(waitMs)),
+        {
+          defaultValue: undefined,
+        },
+      );
     }
   }
 
@@ -170,8 +174,8 @@
   }
 
   /** Processes of this role that are known, this one among them. */
-  get knownEntries(): number {
-    return 1 + this.book.known.length;
+  get knownEntryCount(): number {
+    return 1 + this.peerDirectory.known.length;
   }
 
   /**
@@ -180,63 +184,69 @@
    * the store alone is silent, an entry goes on serving: the others hear no
    * more of it, or they would have told.
    */
-  isCutOff(now: number): boolean {
+  isIsolated(now: number): boolean {
     return (
       this.configuration.isLagging(now) &&
-      !this.book.isEmpty &&
-      this.context.reach.silentMs(now) > CUT_OFF_MS
+      !this.peerDirectory.isEmpty &&
+      this.context.lastContact.elapsedMs(now) > ISOLATION_TIMEOUT_MS
     );
   }
 
   /** This instance was suspended: all that is believed is older by so much. */
   age(lostMs: number): void {
     this.configuration.age(lostMs);
-    this.copies.forEach(copy => copy.age(lostMs));
-    this.context.reach.age(lostMs);
+    this.replicas.forEach(copy => copy.age(lostMs));
+    this.context.lastContact.age(lostMs);
     this.limits.handleResume();
     this.context.log.event('instanceSuspended', {lostMs: Math.round(lostMs)});
   }
 
   /** Starts to follow, and to answer peers on `server`. */
   open(server: RpcServer): void {
-    server.handle(peersApp.news, call => {
-      this.context.lostTime.look();
-      this.book.learn([call.from]);
+    server.handle(peersApp.pullUpdates, call => {
+      this.context.suspensionDetector.check();
+      this.peerDirectory.add([call.from]);
       const now = performance.now();
       const isSettling = now < this.graceUntil;
-      const kinds = this.copies.flatMap(copy => {
+      const kinds = this.replicas.flatMap(copy => {
         const held = call.held.find(one => one.kind === copy.kind);
-        return copy.tell(held, isSettling, now) ?? [];
+        return copy.updateFor(held, isSettling, now) ?? [];
       });
       const convicted = this.crashes.quarantineNotices();
-      return {kinds, peers: this.book.toTell(), convicted};
+      return {kinds, peers: this.peerDirectory.chooseToShare(), convicted};
     });
     this.limits.open(server);
     this.crashes.open(server);
     this.watch();
-    this.peers.start();
+    this.peerPoller.start();
   }
 
   close(): void {
     this.stopWatching();
     this.limits.close();
     this.crashes.close();
-    this.emptiedHalls.close();
-    this.peers.close();
+    this.drainedHalls.close();
+    this.peerPoller.close();
   }
 
   /**
    * Watches the store or leaves that to others, and tells to whom: its calls are
    * paid for, and would grow with the entries.
    */
-  private watchersFor(now: number): readonly string[] {
-    const peers = this.book.known;
-    if (this.duty.isDue(peers, this.configuration.ageMs(now), now)) {
+  private updateWatching(now: number): readonly string[] {
+    const peers = this.peerDirectory.known;
+    if (
+      this.watcherElection.shouldWatch(
+        peers,
+        this.configuration.ageMs(now),
+        now,
+      )
+    ) {
       this.watch();
       return [];
     }
     this.stopWatching();
-    return watchDuty.watchersOf(peers);
+    return watchDuty.electWatchers(peers);
   }
 
   private watch(): void {
@@ -245,32 +255,35 @@
     }
     const {store, documents, log} = this.context;
     const {configurationKind, targetsKind, emptiedHallsKind} = documents;
-    const isShared = () => this.book.known.length >= watchDuty.WATCHERS;
+    const isShared = () =>
+      this.peerDirectory.known.length >= watchDuty.WATCHER_COUNT;
     const configuration = new WatchLoop(store, configurationKind, () =>
-      isShared() ? SHARED_WAIT_MS : CONFIGURATION_WAIT_MS,
+      isShared() ? SHARED_CONFIGURATION_WAIT_MS : CONFIGURATION_WAIT_MS,
     );
     const targets = new WatchLoop(store, targetsKind, () => TARGETS_WAIT_MS);
-    const emptiedHalls = new WatchLoop(
+    const drainedHalls = new WatchLoop(
       store,
       emptiedHallsKind,
-      () => EMPTIED_HALLS_WAIT_MS,
+      () => DRAINED_HALLS_WAIT_MS,
     );
     configuration.events.subscribe(event => {
-      if (this.configurationCopy.take(event)) {
-        this.onConfiguration(event);
+      if (this.configurationReplica.applyWatchEvent(event)) {
+        this.onConfigurationWatchEvent(event);
       }
     });
     targets.events.subscribe(event => {
-      if (this.targetsCopy.take(event)) {
-        this.onTargets(event, performance.now() < this.graceUntil);
+      if (this.targetsReplica.applyWatchEvent(event)) {
+        this.onTargetsWatchEvent(event, performance.now() < this.graceUntil);
       }
     });
-    emptiedHalls.events.subscribe(event => this.emptiedHalls.take(event));
-    this.loops = {configuration, targets, emptiedHalls};
-    log.event('watchTaken', {peers: this.book.known.length});
+    drainedHalls.events.subscribe(event =>
+      this.drainedHalls.applyWatchEvent(event),
+    );
+    this.loops = {configuration, targets, drainedHalls};
+    log.event('watchTaken', {peers: this.peerDirectory.known.length});
     void configuration.run();
     void targets.run();
-    void emptiedHalls.run();
+    void drainedHalls.run();
   }
 
   private stopWatching(): void {
@@ -279,65 +292,74 @@
     }
     this.loops.configuration.close();
     this.loops.targets.close();
-    this.loops.emptiedHalls.close();
+    this.loops.drainedHalls.close();
     this.loops = undefined;
-    this.isLost = false;
+    this.isStoreDown = false;
     if (this.graceUntil === Infinity) {
       this.graceUntil = performance.now() + OUTAGE_GRACE_MS;
     }
-    this.context.log.event('watchLeft', {peers: this.book.known.length});
+    this.context.log.event('watchLeft', {
+      peers: this.peerDirectory.known.length,
+    });
   }
 
-  private get copies(): readonly KindCopy[] {
-    return [this.configurationCopy, this.targetsCopy, this.emptiedHalls.copy];
+  private get replicas(): readonly KindReplica[] {
+    return [
+      this.configurationReplica,
+      this.targetsReplica,
+      this.drainedHalls.replica,
+    ];
   }
 
   /** True where the peer has heard from the store lately. */
-  private takeNews(news: readonly KindNews[], askedAt: number): boolean {
+  private applyPeerUpdates(
+    news: readonly KindUpdate[],
+    askedAt: number,
+  ): boolean {
     let isFresh = false;
     for (const one of news) {
-      if (one.kind === this.configurationCopy.kind) {
-        this.configurationCopy
-          .offer(one, askedAt)
-          .forEach(event => this.takeConfigurationEvent(event, 'peer'));
-        isFresh = one.ageMs < SILENT_MS;
-      } else if (one.kind === this.targetsCopy.kind) {
-        this.targetsCopy
-          .offer(one, askedAt)
-          .forEach(event => this.takeTargetsEvent(event, one.isSettling));
-      } else if (one.kind === this.emptiedHalls.copy.kind) {
-        this.emptiedHalls.offer(one, askedAt);
+      if (one.kind === this.configurationReplica.kind) {
+        this.configurationReplica
+          .applyPeerUpdate(one, askedAt)
+          .forEach(event => this.applyConfigurationEvent(event, 'peer'));
+        isFresh = one.ageMs < MAX_STORE_SILENCE_MS;
+      } else if (one.kind === this.targetsReplica.kind) {
+        this.targetsReplica
+          .applyPeerUpdate(one, askedAt)
+          .forEach(event => this.applyTargetsEvent(event, one.isSettling));
+      } else if (one.kind === this.drainedHalls.replica.kind) {
+        this.drainedHalls.applyPeerUpdate(one, askedAt);
       }
     }
     return isFresh;
   }
 
-  private onConfiguration(event: WatchEvent): void {
-    this.isLost = event.kind === 'lost';
+  private onConfigurationWatchEvent(event: WatchEvent): void {
+    this.isStoreDown = event.kind === 'lost';
     if (event.kind === 'lost') {
       this.context.log.event('platformUnavailable', {
-        of: this.configurationCopy.kind,
+        of: this.configurationReplica.kind,
         error: event.error.kind,
       });
       this.loops?.targets.restart();
-      this.loops?.emptiedHalls.restart();
+      this.loops?.drainedHalls.restart();
     } else {
-      this.takeConfigurationEvent(event, 'store');
+      this.applyConfigurationEvent(event, 'store');
     }
   }
 
-  private takeConfigurationEvent(
+  private applyConfigurationEvent(
     event: WatchEvent,
     source: 'store' | 'peer',
   ): void {
     if (event.kind === 'contact') {
       this.configuration.confirm(event.since);
     } else if (event.kind !== 'lost') {
-      this.takeConfiguration(event.listing, source);
+      this.applyConfiguration(event.listing, source);
     }
   }
 
-  private takeConfiguration(
+  private applyConfiguration(
     listing: objects.Listing,
     source: 'store' | 'peer',
   ): void {
@@ -360,7 +382,7 @@
         ...routes.flatMap(one => one.services.map(part => part.service)),
       ]);
       this.context.onLimits(limits);
-      this.noteComplete();
+      this.emitIfRoutable();
       log.event('configurationApplied', {version, source});
     }
   }
@@ -377,22 +399,22 @@
     return read;
   }
 
-  private noteComplete(): void {
-    if (this.isComplete) {
-      this.completed.next();
+  private emitIfRoutable(): void {
+    if (this.isRoutable) {
+      this.becameRoutable.next();
     }
   }
 
-  private onTargets(event: WatchEvent, inGrace: boolean): void {
+  private onTargetsWatchEvent(event: WatchEvent, inGrace: boolean): void {
     if (event.kind === 'lost') {
       this.graceUntil = Infinity;
       this.context.log.event('platformUnavailable', {
-        of: this.targetsCopy.kind,
+        of: this.targetsReplica.kind,
         error: event.error.kind,
       });
       return;
     }
-    this.takeTargetsEvent(event, inGrace);
+    this.applyTargetsEvent(event, inGrace);
     if (event.kind !== 'contact' && this.graceUntil === Infinity) {
       this.graceUntil = performance.now() + OUTAGE_GRACE_MS;
       this.context.log.event('platformBack', {targets: this.targets.size});
@@ -400,17 +422,17 @@
   }
 
   /** `inGrace`: entries that are missing may still be coming back. */
-  private takeTargetsEvent(event: WatchEvent, inGrace: boolean): void {
+  private applyTargetsEvent(event: WatchEvent, inGrace: boolean): void {
     if (event.kind !== 'listed' && event.kind !== 'changed') {
       return;
     }
     const now = performance.now();
     const {items, removed, revision} = event.listing;
     const {found, unread} = this.readTargets(items);
-    const isSetBack = this.isSetBack(revision, now);
+    const detectRollback = this.isSetBack(revision, now);
     if (event.kind === 'listed') {
       // An older copy lacks targets that will write there again.
-      const mayComeBack = inGrace || isSetBack;
+      const mayComeBack = inGrace || detectRollback;
       this.targets.replaceAll(found, now, mayComeBack, unread);
     } else {
       found.forEach(target => this.targets.add(target));
@@ -418,8 +440,8 @@
         this.targets.remove(objects.nameOf(key), now, inGrace),
       );
     }
-    this.hasHadTargets ||= this.targets.size > 0;
-    this.noteComplete();
+    this.hasSeenTargets ||= this.targets.size > 0;
+    this.emitIfRoutable();
     this.context.onTargets();
   }
 
@@ -453,7 +475,7 @@
     return {found, unread};
   }
 
-  private logTarget(change: TargetChange): void {
+  private logTargetChange(change: TargetChange): void {
     const {log} = this.context;
     const {id, service, address, slots, group, rank} = change.target;
     const fields = {target: id, service, address};
--- a/src/roles/site-sidecar.ts
+++ b/src/roles/site-sidecar.ts
@@ -13,17 +13,17 @@
 import type {ObjectApi} from '../platform/client';
 import {RpcClient} from '../rpc/client';
 import {RpcServer} from '../rpc/server';
-import {serveMetrics} from './metrics-face';
-import {serveRpc} from './rpc-face';
+import {serveMetrics} from './metrics-endpoint';
+import {serveRpc} from './rpc-endpoint';
 import type {SiteDocuments} from './site-documents';
 import type {SiteSettings} from './site-settings';
 
 export class SiteSidecar {
-  private readonly rpc: RpcServer;
+  private readonly rpcServer: RpcServer;
   private readonly agent: RankAgent;
   private readonly engine: Engine;
   private readonly maps = new MapCache();
-  private readonly client = new RpcClient();
+  private readonly rpcClient = new RpcClient();
   private readonly metrics = new Metrics();
   private readonly member: GroupMember | undefined;
   private readonly servers: http.Server[] = [];
@@ -34,7 +34,7 @@
     private readonly store: ObjectApi,
     private readonly log: Log,
   ) {
-    this.rpc = new RpcServer(log);
+    this.rpcServer = new RpcServer(log);
     this.engine = documents.makeEngine(cfg.targetAddress ?? '');
     this.agent = new RankAgent(
       this.engine,
@@ -51,7 +51,7 @@
         agent: this.agent,
         documents,
         store,
-        rpc: this.client,
+        rpc: this.rpcClient,
         log,
         metrics: this.metrics,
       });
@@ -59,16 +59,16 @@
   }
 
   async open(): Promise<void> {
-    const {agent, maps, client} = this;
-    const head = new BranchHead(agent, maps, client);
-    this.rpc.handle(experts.read, async call => {
+    const {agent, maps, rpcClient} = this;
+    const head = new BranchHead(agent, maps, rpcClient);
+    this.rpcServer.handle(experts.read, async call => {
       const {ranks, growth} = await head.read(call);
       return {ranks: [...ranks], growth: growth && packing.packGrowth(growth)};
     });
-    this.rpc.handle(experts.order, async ({term, order, members}) => ({
+    this.rpcServer.handle(experts.order, async ({term, order, members}) => ({
       results: await head.order(term, order, members),
     }));
-    this.rpc.handle(experts.orderOther, async call => {
+    this.rpcServer.handle(experts.orderOther, async call => {
       const order = experts.orderFromWire(call.order, maps);
       return {
         result:
@@ -77,25 +77,28 @@
             : await agent.orderOther(call.term, call, order),
       };
     });
-    this.rpc.handle(experts.orderOthers, async ({term, targets, order}) => {
-      const read = experts.orderFromWire(order, maps);
-      return {
-        results:
-          typeof read === 'string'
-            ? targets.map(() => 'refused' as const)
-            : await agent.orderOthers(term, targets, read),
-      };
-    });
-    this.rpc.handle(experts.view, async ({waitMs}) => {
+    this.rpcServer.handle(
+      experts.orderOthers,
+      async ({term, targets, order}) => {
+        const read = experts.orderFromWire(order, maps);
+        return {
+          results:
+            typeof read === 'string'
+              ? targets.map(() => 'refused' as const)
+              : await agent.orderOthers(term, targets, read),
+        };
+      },
+    );
+    this.rpcServer.handle(experts.view, async ({waitMs}) => {
       await this.agent.waitForChange(waitMs);
       return {known: this.agent.groupView, seen: this.agent.groupStatus};
     });
-    this.rpc.handle(experts.hearing, () => ({
+    this.rpcServer.handle(experts.hearing, () => ({
       isPlannerHeard: this.agent.isPlannerHeard,
     }));
     const {host, rpcPort, metricsPort} = this.cfg;
     this.servers.push(
-      await serveRpc(`${host}:${rpcPort}`, this.rpc, this.log),
+      await serveRpc(`${host}:${rpcPort}`, this.rpcServer, this.log),
       await serveMetrics(`${host}:${metricsPort}`, this.metrics),
     );
     void this.member?.run();
@@ -115,7 +118,7 @@
       server.close();
       server.closeAllConnections();
     }
-    this.client.close();
+    this.rpcClient.close();
     this.engine.close();
     this.agent.close();
     this.store.close();
--- a/src/roles/stopping.ts
+++ b/src/roles/wait-until-idle.ts
@@ -1,5 +1,5 @@
 /** Waiting for work in flight. */
-const POLL_MS = 20;
+const POLL_INTERVAL_MS = 20;
 
 /** Resolves once nothing is open, or after the patience. True: idle. */
 export async function waitUntilIdle(
@@ -11,7 +11,7 @@
     if (Date.now() >= giveUpAt) {
       return false;
     }
-    await new Promise(resolve => setTimeout(resolve, POLL_MS));
+    await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
   }
   return true;
 }
--- a/src/lost-time.ts
+++ b/src/suspension-detector.ts
@@ -9,53 +9,56 @@
 import {Subject} from 'rxjs';
 
 /** Less than this is no suspension, in milliseconds: clocks are read one by one. */
-const LEAST_LOST_MS = 100;
+const MIN_SUSPENSION_MS = 100;
 /** Time between looks of its own, in milliseconds. */
-const LOOK_MS = 500;
-const SECOND_MS = 1_000;
+const CHECK_INTERVAL_MS = 500;
+const MS_PER_SECOND = 1_000;
 
 /** What clocks have counted beyond the monotonic one, in milliseconds. */
-interface Reading {
-  readonly ofDay: number;
-  readonly sinceBoot: number;
+interface ClockOffsets {
+  readonly wallClock: number;
+  readonly uptime: number;
 }
 
-export class LostTime {
+export class SuspensionDetector {
   /** Milliseconds that were lost, each time that some were noticed. */
-  readonly lost = new Subject<number>();
-  private last = read();
-  private readonly timer = setInterval(() => this.compare(), LOOK_MS).unref();
+  readonly suspensions = new Subject<number>();
+  private lastOffsets = readClockOffsets();
+  private readonly timer = setInterval(
+    () => this.compareClocks(),
+    CHECK_INTERVAL_MS,
+  ).unref();
 
   /** To be called before anything is decided by what was believed before. */
-  look(): void {
+  check(): void {
     const ofDay = Date.now() - performance.now();
-    if (ofDay - this.last.ofDay >= LEAST_LOST_MS) {
-      this.compare();
+    if (ofDay - this.lastOffsets.wallClock >= MIN_SUSPENSION_MS) {
+      this.compareClocks();
     }
   }
 
   close(): void {
     clearInterval(this.timer);
-    this.lost.complete();
+    this.suspensions.complete();
   }
 
-  private compare(): void {
-    const now = read();
+  private compareClocks(): void {
+    const now = readClockOffsets();
     const lostMs = Math.min(
-      now.ofDay - this.last.ofDay,
-      now.sinceBoot - this.last.sinceBoot,
+      now.wallClock - this.lastOffsets.wallClock,
+      now.uptime - this.lastOffsets.uptime,
     );
-    this.last = now;
-    if (lostMs >= LEAST_LOST_MS) {
-      this.lost.next(lostMs);
+    this.lastOffsets = now;
+    if (lostMs >= MIN_SUSPENSION_MS) {
+      this.suspensions.next(lostMs);
     }
   }
 }
 
-function read(): Reading {
+function readClockOffsets(): ClockOffsets {
   const monotonic = performance.now();
   return {
-    ofDay: Date.now() - monotonic,
-    sinceBoot: os.uptime() * SECOND_MS - monotonic,
+    wallClock: Date.now() - monotonic,
+    uptime: os.uptime() * MS_PER_SECOND - monotonic,
   };
 }
--- a/src/targets/cooldown.ts
+++ b/src/targets/cooldown.ts
@@ -27,7 +27,7 @@
 
 /** When a caller should come back that is refused for a rest of so long. */
 export function withRetryJitter(restMs: number): number {
-  return restMs * (1 + CALLER_RETRY_JITTER * random.unit());
+  return restMs * (1 + CALLER_RETRY_JITTER * random.uniform());
 }
 
 export class Cooldown {
@@ -41,7 +41,7 @@
    * requests that were under way together come in any order.
    */
   start(ms: number, now: number): void {
-    const until = now + ms * (1 + COOLDOWN_JITTER * random.unit());
+    const until = now + ms * (1 + COOLDOWN_JITTER * random.uniform());
     this.endsAt = Math.max(this.endsAt, until);
     this.lastTrialAt = -Infinity;
     this.hasAccepted = false;
--- a/src/targets/limit-coordinator.test.ts
+++ b/src/targets/limit-coordinator.test.ts
@@ -1,8 +1,8 @@
 /** Many entries that send to one target, on a network of the test's own. */
 import * as random from '../random';
 import type {Log} from '../observability/log';
-import {PeerBook} from '../peers/peer-book';
-import {PeerOrder} from '../peers/peer-order';
+import {PeerDirectory} from '../peers/peer-directory';
+import {PeerRanking} from '../peers/peer-ranking';
 import {fail, ok} from '../result';
 import type {RpcClient} from '../rpc/client';
 import {RateLimitTracker} from './rate-limit-tracker';
@@ -28,7 +28,7 @@
   /** When it first heard of the limit. */
   firstSentAt = Infinity;
   handler: Handler | undefined;
-  readonly book: PeerBook;
+  readonly book: PeerDirectory;
   readonly exchange: LimitCoordinator;
 
   constructor(
@@ -36,10 +36,10 @@
     seeds: readonly string[],
     network: Network,
   ) {
-    this.book = new PeerBook(address, seeds);
+    this.book = new PeerDirectory(address, seeds);
     this.exchange = new LimitCoordinator({
       rpc: {call: network.callFrom(this)},
-      peers: new PeerOrder(address, this.book),
+      peers: new PeerRanking(address, this.book),
       limits: this.limits,
       log: {event: () => undefined} satisfies Log,
       onChange: () => undefined,
@@ -86,18 +86,18 @@
         new Promise(resolve => setTimeout(resolve, ms));
       const startedAt = performance.now();
       this.calls += 1;
-      await sleep(1 + random.unit() * 10);
+      await sleep(1 + random.uniform() * 10);
       const to = this.entries.get(address);
       const isLost =
         to === undefined ||
         to.isFrozen ||
         this.isCut(from.address) ||
         this.isCut(address) ||
-        random.unit() < this.lossShare;
+        random.uniform() < this.lossShare;
       if (!isLost) {
         const result = to.handler!(params, {address: ''});
-        await sleep(1 + random.unit() * 10);
-        if (!from.isFrozen && random.unit() >= this.lossShare) {
+        await sleep(1 + random.uniform() * 10);
+        if (!from.isFrozen && random.uniform() >= this.lossShare) {
           return ok(result as never);
         }
       }
@@ -129,7 +129,8 @@
     const endsAt = performance.now() + ms;
     while (performance.now() < endsAt) {
       for (const entry of this.all) {
-        const isDue = random.unit() < (perEntryASecond * STEP_MS) / SECOND_MS;
+        const isDue =
+          random.uniform() < (perEntryASecond * STEP_MS) / SECOND_MS;
         if (isDue && !entry.isFrozen) {
           this.sendOne(entry);
         }
@@ -292,8 +293,8 @@
       for (let turn = 0; turn < 12; turn += 1) {
         const troubled = random.pick(site.all);
         const {address} = troubled;
-        const what = random.below(4);
-        const lastsMs = 300 + random.below(6_000);
+        const what = random.integerBelow(4);
+        const lastsMs = 300 + random.integerBelow(6_000);
         if (what === 0) {
           troubled.isFrozen = true;
           troubled.excludeFor(lastsMs);
@@ -307,7 +308,7 @@
         } else {
           site.network.add(`10.2.${turn}.1:7`, [site.all[0]!.address]);
         }
-        await site.run(random.below(4_000));
+        await site.run(random.integerBelow(4_000));
       }
       await site.run(8_000);
       expectLimitHeld(site, startedAt + SETTLE_MS);
--- a/src/targets/limit-coordinator.ts
+++ b/src/targets/limit-coordinator.ts
@@ -7,7 +7,7 @@
  * called where no target has a limit, nor where there are no peers.
  */
 import type {Log} from '../observability/log';
-import type {PeerOrder} from '../peers/peer-order';
+import type {PeerRanking} from '../peers/peer-ranking';
 import * as grouping from '../grouping';
 import * as random from '../random';
 import type {RpcClient} from '../rpc/client';
@@ -43,7 +43,7 @@
 /** What agreeing with peers needs of its process. */
 export interface LimitContext {
   readonly rpc: Pick<RpcClient, 'call'>;
-  readonly peers: PeerOrder;
+  readonly peers: PeerRanking;
   readonly limits: RateLimitTracker;
   readonly log: Log;
   /** A peer knew more of a target's limit. */
@@ -71,7 +71,7 @@
   open(server: Pick<RpcServer, 'handle'>): void {
     server.handle(app.borrow, ({from, asks}) => {
       const now = performance.now();
-      this.context.peers.noteHeard(from);
+      this.context.peers.markResponsive(from);
       this.hasPeerContact = true;
       return {answers: asks.map(ask => this.handleRequest(ask, now))};
     });
@@ -104,8 +104,8 @@
     const silent = peers
       .ranked(lifetime)
       .slice(0, 1 + SUCCESSORS_NOTIFIED)
-      .filter(one => peers.isSilent(one));
-    const isOwn = order[0] === peers.own;
+      .filter(one => peers.isUnresponsive(one));
+    const isOwn = order[0] === peers.ownAddress;
     if (isOwn && (wanted > 0 || this.isIssuing(lifetime))) {
       const lent = this.grant(lifetime, word, wanted, now);
       return {...lent, order, silent, word: toMessage(lent.word, now)};
@@ -142,7 +142,7 @@
       ({lifetime, word}) => this.order(lifetime, word, now)[0]!,
     );
     for (const [lender, some] of byLender) {
-      if (lender === this.context.peers.own) {
+      if (lender === this.context.peers.ownAddress) {
         some.forEach(wish => this.requestFromSelf(wish, now));
       } else {
         void this.requestFromPeer(lender, some);
@@ -170,7 +170,8 @@
 
   /** True while it knows of peers and has not met one yet, for some time. */
   private isAwaitingFirstContact(now: number): boolean {
-    const isAlone = !this.hasPeerContact && !this.context.peers.book.isEmpty;
+    const isAlone =
+      !this.hasPeerContact && !this.context.peers.directory.isEmpty;
     return isAlone && now - this.startedAt < FIRST_CONTACT_TIMEOUT_MS;
   }
 
@@ -211,18 +212,18 @@
       word: toMessage(word, now),
       wanted,
     }));
-    const params = {from: peers.own, asks};
+    const params = {from: peers.ownAddress, asks};
     const answer = await rpc.call(peer, app.borrow, params, RPC_TIMEOUT_MS);
     if (!answer.ok) {
-      peers.noteSilent(peer);
+      peers.markUnresponsive(peer);
       return undefined;
     }
-    peers.noteHeard(peer);
+    peers.markResponsive(peer);
     this.hasPeerContact = true;
     for (const {order, silent} of answer.value.answers) {
       // The peer hears from them; where it is wrong, the next call shows.
-      peers.noteHeard(...order);
-      peers.book.learn(silent);
+      peers.markResponsive(...order);
+      peers.directory.add(silent);
     }
     return answer.value.answers;
   }
@@ -241,10 +242,10 @@
   private order(lifetime: string, word: RateLimit, now: number): string[] {
     const {peers} = this.context;
     peers
-      .takeTrials(lifetime, now)
+      .takeDueRetries(lifetime, now)
       .slice(0, MAX_SILENT_TRIED)
       .forEach(one => void this.call(one, [{lifetime, word, wanted: 0}]));
-    return peers.answering(lifetime);
+    return peers.responsive(lifetime);
   }
 
   private isIssuing(lifetime: string): boolean {
@@ -263,7 +264,7 @@
       this.context.log.event('limitLent', {
         lifetime,
         limit: word.perSecond,
-        peers: this.context.peers.book.known.length,
+        peers: this.context.peers.directory.known.length,
       });
       this.announce(lifetime, word, now);
       this.heartbeatTimer ??= this.scheduleHeartbeat();
@@ -305,7 +306,7 @@
     told: Set<string>,
   ): Promise<void> {
     const [first, ...others] = this.order(lifetime, word, now);
-    const {own} = this.context.peers;
+    const {ownAddress: own} = this.context.peers;
     if (first !== own) {
       this.stopIssuing(lifetime);
       return;
