--- a/src/peers/kind-replica.ts
+++ b/src/peers/kind-replica.ts
@@ -1,28 +1,26 @@
 /**
- * What the store has told of one kind of objects, by whichever way it came:
- * by this process's own watch or by a peer's. Newer revisions go before older
- * ones, so the order in which both are heard doesn't matter.
+ * This process's replica of one kind of store objects, updated by its own watch
+ * and by peers. Updates of an older revision than the replica's are ignored, so
+ * their order doesn't matter.
  *
- * Objects that say themselves which one is newer are held by that: a store that
- * came back from an older copy may list an older one until it is written again,
- * and who starts in between hears of the newer one from here.
+ * Objects whose values carry a version are compared by that first: a store that
+ * was restored from a backup may list an older object until it is written again.
  */
 import * as murmurhash from 'murmurhash';
 import type * as objects from '../platform/types';
 import type {WatchEvent} from '../platform/watch-loop';
 import type {KindDigest, KindUpdate} from './types';
 
-/** Digests are kept within 32 bits. */
 const DIGEST_RANGE = 2 ** 32;
 
 export class KindReplica {
   private readonly items = new Map<string, objects.StoredObject>();
   private revision: number | undefined;
   private confirmedAt = -Infinity;
-  /** Of the items; undefined since they changed. */
+  /** Digest of the items; undefined if they have changed since. */
   private digest: number | undefined;
 
-  /** `orderOf`: which of two objects of a key is newer, where they say so. */
+  /** `versionIn`: the version that an object's value carries, if any. */
   constructor(
     readonly kind: string,
     private readonly versionIn: (
@@ -30,13 +28,12 @@
     ) => number | undefined = () => undefined,
   ) {}
 
-  /** What this process tells a peer that it holds. */
   get currentDigest(): KindDigest {
     this.digest ??= digestOf(this.items.values());
     return {kind: this.kind, digest: this.digest};
   }
 
-  /** Takes what the own watch says. False where a peer had told newer. */
+  /** Applies an event of the own watch. False if a peer has sent a newer one. */
   applyWatchEvent(event: WatchEvent): boolean {
     switch (event.kind) {
       case 'lost':
@@ -50,12 +47,12 @@
     }
   }
 
-  /** This instance was suspended: the last word is older by so much. */
-  age(lostMs: number): void {
-    this.confirmedAt -= lostMs;
+  /** Makes the last confirmation older by the time of a suspension. */
+  age(suspendedMs: number): void {
+    this.confirmedAt -= suspendedMs;
   }
 
-  /** What a peer that holds this should hear; undefined: nothing is known. */
+  /** The update for a peer with this digest; undefined before any contact. */
   updateFor(
     asked: KindDigest | undefined,
     isSettling: boolean,
@@ -72,16 +69,16 @@
   }
 
   /**
-   * Takes what a peer was asked for at `askedAt`: the events that an own watch
-   * would have brought. Its age is counted from the question, since the answer
-   * may have been on its way for as long as anybody was frozen.
+   * Applies a peer's update and returns the events that an own watch would have
+   * given. Its age counts from `askedAt`, when the peer was asked, since either
+   * process may have been suspended before the answer arrived.
    */
-  applyPeerUpdate(news: KindUpdate, askedAt: number): WatchEvent[] {
-    if (news.revision < (this.revision ?? 0)) {
-      return this.applyNewer(news.items ?? []);
+  applyPeerUpdate(update: KindUpdate, askedAt: number): WatchEvent[] {
+    if (update.revision < (this.revision ?? 0)) {
+      return this.applyNewer(update.items ?? []);
     }
     const events: WatchEvent[] = [];
-    const {revision, items} = news;
+    const {revision, items} = update;
     if (items !== undefined) {
       const listing = {revision, items, removed: []};
       this.applyListing('listed', listing);
@@ -89,14 +86,14 @@
     }
     if (this.revision !== undefined) {
       this.revision = revision;
-      const since = askedAt - news.ageMs;
+      const since = askedAt - update.ageMs;
       this.confirmedAt = Math.max(this.confirmedAt, since);
       events.push({kind: 'contact', since});
     }
     return events;
   }
 
-  /** Objects of an older revision that say that they are newer all the same. */
+  /** Applies objects of an older revision whose own version is newer. */
   private applyNewer(items: readonly objects.StoredObject[]): WatchEvent[] {
     const newer = items.filter(item =>
       this.isNewer(item, this.items.get(item.key)),
@@ -110,15 +107,17 @@
     return [{kind: 'changed', listing}];
   }
 
-  /** True where an object says that it is newer than another one. */
+  /** True if both objects carry a version and the first one's is greater. */
   private isNewer(
     one: objects.StoredObject | undefined,
     other: objects.StoredObject | undefined,
   ): boolean {
-    const order = one && this.versionIn(one);
-    const otherOrder = other && this.versionIn(other);
+    const version = one && this.versionIn(one);
+    const otherVersion = other && this.versionIn(other);
     return (
-      order !== undefined && otherOrder !== undefined && order > otherOrder
+      version !== undefined &&
+      otherVersion !== undefined &&
+      version > otherVersion
     );
   }
 
--- a/src/peers/last-contact.ts
+++ b/src/peers/last-contact.ts
@@ -1,18 +1,17 @@
-/** When another process of the site last answered this one. */
+/** Time since another process of the site last answered this one. */
 export class LastContact {
   private answeredAt = -Infinity;
 
-  /** Another process has answered. */
   recordAnswer(): void {
     this.answeredAt = performance.now();
   }
 
-  /** This instance was suspended: the last answer is older by so much. */
-  age(lostMs: number): void {
-    this.answeredAt -= lostMs;
+  /** Makes the last answer older by the time of a suspension. */
+  age(suspendedMs: number): void {
+    this.answeredAt -= suspendedMs;
   }
 
-  /** Milliseconds of silence from all others; `now` is monotonic. */
+  /** Milliseconds since the last answer; `now` is monotonic. */
   elapsedMs(now: number): number {
     return now - this.answeredAt;
   }
--- a/src/peers/peer-directory.test.ts
+++ b/src/peers/peer-directory.test.ts
@@ -2,57 +2,57 @@
 import {PeerDirectory} from './peer-directory';
 import {electWatchers} from './watcher-election';
 
-describe('the peers that a process may ask', () => {
-  it('asks neither itself nor anybody twice', () => {
-    const book = new PeerDirectory('a:1', ['a:1', 'b:1', 'b:1']);
-    book.add(['a:1', 'b:1', 'c:1', 'c:1']);
-    expect(book.chooseToPoll(9).sort()).toEqual(['b:1', 'c:1']);
+describe('peer directory', () => {
+  it('lists neither the process itself nor duplicates', () => {
+    const directory = new PeerDirectory('a:1', ['a:1', 'b:1', 'b:1']);
+    directory.add(['a:1', 'b:1', 'c:1', 'c:1']);
+    expect(directory.chooseToPoll(9).sort()).toEqual(['b:1', 'c:1']);
   });
 
-  it('keeps to the one that helped last, and drops the silent', () => {
-    const book = new PeerDirectory('a:1', ['b:1']);
-    book.add(['c:1', 'd:1']);
-    book.recordCall('c:1', true, true);
-    expect(book.chooseToPoll(1)).toEqual(['c:1']);
-    book.recordCall('c:1', false, false);
-    book.recordCall('b:1', false, false);
-    expect(book.chooseToPoll(9).sort()).toEqual(['b:1', 'd:1']);
+  it('prefers the last helpful peer and removes unresponsive ones', () => {
+    const directory = new PeerDirectory('a:1', ['b:1']);
+    directory.add(['c:1', 'd:1']);
+    directory.recordCall('c:1', true, true);
+    expect(directory.chooseToPoll(1)).toEqual(['c:1']);
+    directory.recordCall('c:1', false, false);
+    directory.recordCall('b:1', false, false);
+    expect(directory.chooseToPoll(9).sort()).toEqual(['b:1', 'd:1']);
   });
 
-  it('always tells of those that should watch the store', () => {
+  it('always names the watchers of the store', () => {
     const all = Array.from({length: 35}, (_, at) => `x:${at}`);
-    const book = new PeerDirectory('a:1', []);
-    book.add(all);
-    const told = book.chooseToShare();
-    const [first] = electWatchers([...all, 'a:1']);
-    expect(told).toContain(first);
-    expect(told.length).toBeLessThan(10);
+    const directory = new PeerDirectory('a:1', []);
+    directory.add(all);
+    const shared = directory.chooseToShare();
+    const [watcher] = electWatchers([...all, 'a:1']);
+    expect(shared).toContain(watcher);
+    expect(shared.length).toBeLessThan(10);
   });
 
-  it('agrees on who watches, wherever the first greetings went', () => {
+  it('agrees on the watchers after a few rounds of random discovery', () => {
     random.seed(3);
     const all = Array.from({length: 35}, (_, at) => `x:${at}`);
-    const books = new Map(
+    const directories = new Map(
       all.map(own => [own, new PeerDirectory(own, all.slice(0, 3))]),
     );
     for (let round = 0; round < 8; round += 1) {
-      for (const [own, book] of books) {
-        for (const peer of book.chooseRandom()) {
-          const other = books.get(peer)!;
+      for (const [own, directory] of directories) {
+        for (const peer of directory.chooseRandom()) {
+          const other = directories.get(peer)!;
           other.add([own]);
-          book.add(other.chooseToShare());
+          directory.add(other.chooseToShare());
         }
       }
     }
-    const isWatcher = ([own, book]: [string, PeerDirectory]) =>
-      electWatchers([own, ...book.known]).includes(own);
-    expect([...books].filter(isWatcher)).toHaveLength(3);
+    const isWatcher = ([own, directory]: [string, PeerDirectory]) =>
+      electWatchers([own, ...directory.known]).includes(own);
+    expect([...directories].filter(isWatcher)).toHaveLength(3);
   });
 
-  it('remembers no more than it has room for', () => {
-    const book = new PeerDirectory('a:1', []);
-    book.add(Array.from({length: 1_000}, (_, at) => `x:${at}`));
-    expect(book.chooseToPoll(1_000).length).toBeLessThan(100);
-    expect(book.chooseToShare().length).toBeLessThan(10);
+  it('keeps a bounded number of peers', () => {
+    const directory = new PeerDirectory('a:1', []);
+    directory.add(Array.from({length: 1_000}, (_, at) => `x:${at}`));
+    expect(directory.chooseToPoll(1_000).length).toBeLessThan(100);
+    expect(directory.chooseToShare().length).toBeLessThan(10);
   });
 });
--- a/src/peers/peer-directory.ts
+++ b/src/peers/peer-directory.ts
@@ -1,19 +1,17 @@
 /**
- * Processes of the same role that this one may ask. Seeds stand in the
- * settings; others are learnt from whoever calls, and from what peers answer.
+ * Addresses of the processes of the same role. Seeds come from the settings;
+ * others are discovered from callers and from the answers of peers.
  */
 import * as random from '../random';
 import {electWatchers} from './watcher-election';
 
-/** Peers that are remembered beside the seeds. */
 const MAX_DISCOVERED_PEERS = 64;
-/** Peers that are named to another process. */
 const MAX_SHARED_PEERS = 8;
 
 export class PeerDirectory {
   private readonly seeds: readonly string[];
   private readonly discovered = new Set<string>();
-  /** The peer that brought news last. */
+  /** The peer whose last answer held recent updates. */
   private lastHelpful: string | undefined;
 
   constructor(
@@ -27,7 +25,6 @@
     return this.seeds.length === 0 && this.discovered.size === 0;
   }
 
-  /** Peers that are known. */
   get known(): string[] {
     return [...this.seeds, ...this.discovered];
   }
@@ -42,7 +39,10 @@
     }
   }
 
-  /** Notes whether a peer answered, and whether it had heard something. */
+  /**
+   * Records the outcome of a call: whether the peer answered, and whether its
+   * answer held recent updates. Discovered peers that don't answer are removed.
+   */
   recordCall(address: string, isAnswered: boolean, isHelpful: boolean): void {
     if (!isAnswered) {
       this.discovered.delete(address);
@@ -54,7 +54,7 @@
     }
   }
 
-  /** One of some peers: the one that helped last, where it is among them. */
+  /** The last helpful peer if it is among these, otherwise a random one. */
   chooseFrom(peers: readonly string[]): string | undefined {
     const {lastHelpful} = this;
     const [first] = random.sample(peers, 1);
@@ -63,7 +63,7 @@
       : first;
   }
 
-  /** Up to `count` peers to ask, the one that helped last among them. */
+  /** Up to `count` random peers, the last helpful one first. */
   chooseToPoll(count: number): string[] {
     const {lastHelpful} = this;
     const others = this.known.filter(address => address !== lastHelpful);
@@ -72,21 +72,23 @@
       : [lastHelpful, ...random.sample(others, count - 1)];
   }
 
-  /** A peer to meet: any, so that everybody hears of everybody in time. */
+  /** At most one random peer. */
   chooseRandom(): string[] {
     return random.sample(this.known, 1);
   }
 
   /**
-   * Peers that another process should know of: those that should watch the
-   * store for all, as far as this one knows, and some others.
+   * Peers to name to another process: those that should watch the store, as far
+   * as this one knows, and some others.
    */
   chooseToShare(): string[] {
-    const first = electWatchers([this.ownAddress, ...this.known]);
-    const others = [...this.discovered].filter(peer => !first.includes(peer));
+    const watchers = electWatchers([this.ownAddress, ...this.known]);
+    const others = [...this.discovered].filter(
+      peer => !watchers.includes(peer),
+    );
     return [
-      ...first,
-      ...random.sample(others, MAX_SHARED_PEERS - first.length),
+      ...watchers,
+      ...random.sample(others, MAX_SHARED_PEERS - watchers.length),
     ];
   }
 }
--- a/src/peers/peer-poller.ts
+++ b/src/peers/peer-poller.ts
@@ -1,61 +1,43 @@
 /**
- * Asks peers what the store has told them, while this process hears nothing
- * from it: one that the store turns away, or that has just started, goes on
- * with what others hear. So does one for which others watch. Where everybody
- * watches, nothing is asked in calm but a greeting now and then, so that peers
- * know of each other when it is needed.
+ * Polls peers for store updates while this process gets none from the store
+ * itself, or while other processes watch the store for it. Otherwise it only
+ * calls a random peer now and then, so that processes keep discovering each
+ * other.
  */
 import type {QuarantineNotice} from '../crashes/quarantine';
 import type {RpcClient} from '../rpc/client';
-import * as app from './rpc-methods';
+import * as methods from './rpc-methods';
 import type {PeerDirectory} from './peer-directory';
 import type * as types from './types';
 
-/**
- * Pause between rounds of questions, in milliseconds. A change that one
- * process hears of reaches another that hears nothing in half of it on
- * average, well within the two seconds that a site grants.
- */
 const POLL_INTERVAL_MS = 300;
-/** Peers asked in a round. */
 const PEERS_PER_POLL = 2;
-/** Longest wait for an answer, in milliseconds: a round trip and some work. */
 const ANSWER_TIMEOUT_MS = 250;
-/**
- * And where others watch for this process: many may ask at once for a
- * configuration of some 100 KB.
- */
+/** Longer, since many processes may ask a watcher for everything at once. */
 const WATCHER_ANSWER_TIMEOUT_MS = 600;
-/**
- * Pause between greetings, in milliseconds. One costs about 1 KB; a peer that
- * has started again is known to the others after it, and who watches the store
- * for the others is agreed upon after a few.
- */
 const DISCOVERY_INTERVAL_MS = 3_000;
 
 /**
- * Time in which a process that has just started goes on asking until a peer has
- * answered, in milliseconds: it knows of no request that crashes targets, and
- * of no configuration that is newer than the store's.
+ * Time after the start in which every poll calls a peer until one has answered.
+ * Before that, this process knows neither the quarantined requests nor a
+ * configuration that is newer than the store's.
  */
 const MAX_STARTUP_MS = 10_000;
 
-/** What asking peers needs of its process. */
+/** What the poller uses of its process. */
 export interface PeerPollerContext {
   readonly rpc: RpcClient;
   readonly directory: PeerDirectory;
-  /** Where this process takes calls. */
+  /** Address at which this process takes calls. */
   readonly from: string;
-  /** True while the store itself tells nothing. */
+  /** True while the store sends this process no updates. */
   needsUpdates(now: number): boolean;
-  /** Peers that watch the store for this process; none: it does itself. */
+  /** Peers that watch the store for this process; empty if it watches itself. */
   watchers(now: number): readonly string[];
   digests(): types.KindDigest[];
-  /** Takes what a peer told. True where it has heard lately. */
-  applyUpdates(news: readonly types.KindUpdate[], askedAt: number): boolean;
-  /** Takes what a peer knows of requests that crash targets. */
+  /** Applies a peer's updates. Returns true if they are recent. */
+  applyUpdates(updates: readonly types.KindUpdate[], askedAt: number): boolean;
   applyQuarantines(convicted: readonly QuarantineNotice[]): void;
-  /** A peer answered. */
   onAnswer(): void;
 }
 
@@ -64,12 +46,11 @@
   private lastDiscoveryAt = -Infinity;
   private timer: NodeJS.Timeout | undefined;
   private readonly startedAt = performance.now();
-  /** A peer has answered. */
   private hasPeerAnswered = false;
 
   constructor(private readonly context: PeerPollerContext) {}
 
-  /** Begins to ask, after a head start for the store. */
+  /** Schedules the next poll; the first one leaves the store time to answer. */
   start(): void {
     this.timer = setTimeout(() => void this.poll(), POLL_INTERVAL_MS);
   }
@@ -103,7 +84,7 @@
     }
   }
 
-  /** True for a while where no peer has answered since the start. */
+  /** True shortly after the start, until a peer has answered. */
   private isStartingUp(now: number): boolean {
     return !this.hasPeerAnswered && now - this.startedAt < MAX_STARTUP_MS;
   }
@@ -115,7 +96,7 @@
     const {rpc, directory, from} = this.context;
     const askedAt = performance.now();
     const params = {from, held: this.context.digests()};
-    const answer = await rpc.call(peer, app.pullUpdates, params, answerMs);
+    const answer = await rpc.call(peer, methods.pullUpdates, params, answerMs);
     if (this.isClosed) {
       return;
     }
--- a/src/peers/peer-ranking.ts
+++ b/src/peers/peer-ranking.ts
@@ -1,7 +1,7 @@
 /**
- * Which peer does something for all, by a key: the first by rendezvous hashing of
- * those that are known and answer, this process among them. All work it out alike
- * from what they know; what they know may differ.
+ * Decides which process is responsible for a key: the first by rendezvous hashing
+ * of the known processes that answer, this one included. Processes that know
+ * different peers may disagree.
  */
 import * as rendezvous from '../routing/rendezvous';
 import type {PeerDirectory} from './peer-directory';
@@ -11,12 +11,12 @@
   private readonly unresponsive = new UnresponsivePeers();
 
   constructor(
-    /** Where this process takes calls. */
+    /** Address at which this process takes calls. */
     readonly ownAddress: string,
     readonly directory: PeerDirectory,
   ) {}
 
-  /** All that are known for a key, the first one first. */
+  /** All known processes in the key's order. */
   ranked(key: string): string[] {
     return rendezvous.rankByKey(
       key,
@@ -25,14 +25,14 @@
     );
   }
 
-  /** Those that answer; this process is always among them. */
+  /** Those that answer, in the key's order; always includes this process. */
   responsive(key: string): string[] {
     return this.ranked(key).filter(
       one => !this.unresponsive.isUnresponsive(one),
     );
   }
 
-  /** Silent ones that come before all that answer and are to be tried now. */
+  /** Unresponsive ones that rank before all that answer and are due for a retry. */
   takeDueRetries(key: string, now: number): string[] {
     const all = this.ranked(key);
     const first = all.findIndex(one => !this.unresponsive.isUnresponsive(one));
@@ -45,13 +45,13 @@
     return this.unresponsive.isUnresponsive(address);
   }
 
-  /** A peer has answered or called, or another one has heard it. */
+  /** The peers have answered or called, or another peer has heard from them. */
   markResponsive(...addresses: readonly string[]): void {
     this.directory.add(addresses);
     addresses.forEach(one => this.unresponsive.markResponsive(one));
   }
 
-  /** A call to a peer brought no answer. */
+  /** A call to the peer got no answer. */
   markUnresponsive(address: string): void {
     this.unresponsive.markUnresponsive(address, performance.now());
   }
--- a/src/peers/rpc-methods.ts
+++ b/src/peers/rpc-methods.ts
@@ -1,25 +1,25 @@
-/** Calls between processes that follow the store. */
+/** RPC methods between processes that share store updates. */
 import * as v from 'valibot';
 import {quarantineSchema} from '../crashes/app';
 import * as rpc from '../rpc/types';
 import * as types from './types';
 
 /**
- * Asks a peer what it knows of the store's objects, and makes the caller known
- * to it. A peer that has never heard of a kind leaves it out.
+ * Returns a peer's updates of the store's objects and registers the caller with
+ * it. Kinds of which the peer knows nothing yet are left out.
  */
 export const pullUpdates = rpc.method(
   'peers.news',
   v.object({
-    /** Where the caller takes calls. */
+    /** Address at which the caller takes calls. */
     from: v.string(),
     held: v.array(types.kindDigestSchema),
   }),
   v.object({
     kinds: v.array(types.kindUpdateSchema),
-    /** Where other processes of the same role take calls. */
+    /** Addresses of other processes of the same role. */
     peers: v.array(v.string()),
-    /** Requests that crash the targets that run them. */
+    /** Quarantined requests: those that crash the targets that run them. */
     convicted: v.array(quarantineSchema),
   }),
 );
--- a/src/peers/unresponsive-peers.ts
+++ b/src/peers/unresponsive-peers.ts
@@ -1,14 +1,12 @@
 /**
- * Peers that have not answered lately. One that was silent counts as such until
- * it answers or calls itself; it is tried now and then, at growing intervals.
- * Pure over a clock reading.
+ * Peers that did not answer. A peer counts as unresponsive until it answers or
+ * calls; it is retried with exponential backoff. Reads no clock: callers pass
+ * milliseconds of the monotonic clock.
  */
 import * as bounded from '../bounded';
 
-/** Time until a silent peer is tried again, in milliseconds, and the longest. */
 const INITIAL_RETRY_INTERVAL_MS = 1_000;
 const MAX_RETRY_INTERVAL_MS = 8_000;
-/** Peers that are remembered as silent. */
 const MAX_UNRESPONSIVE_PEERS = 256;
 
 interface RetryState {
@@ -19,12 +17,12 @@
 export class UnresponsivePeers {
   private readonly retries = new Map<string, RetryState>();
 
-  /** The peer has answered or called, or another one has heard it. */
+  /** The peer has answered or called, or another peer has heard from it. */
   markResponsive(address: string): void {
     this.retries.delete(address);
   }
 
-  /** A call to the peer brought no answer. */
+  /** A call to the peer got no answer. */
   markUnresponsive(address: string, now: number): void {
     const before = this.retries.get(address);
     this.retries.set(address, {
@@ -41,13 +39,13 @@
     return this.retries.has(address);
   }
 
-  /** True where a silent peer is to be tried now; the trial is noted. */
+  /** True if an unresponsive peer is due for a retry, which then counts as made. */
   takeDueRetry(address: string, now: number): boolean {
-    const silence = this.retries.get(address);
+    const retry = this.retries.get(address);
     const isDue =
-      silence !== undefined && now - silence.triedAt >= silence.retryIntervalMs;
+      retry !== undefined && now - retry.triedAt >= retry.retryIntervalMs;
     if (isDue) {
-      silence.triedAt = now;
+      retry.triedAt = now;
     }
     return isDue;
   }
--- a/src/peers/watcher-election.ts
+++ b/src/peers/watcher-election.ts
@@ -1,36 +1,31 @@
 /**
- * Whether a process asks the store itself or hears from peers what the store
- * told them. A few watch for all, so that the store's calls, which are paid
- * for, don't grow with the number of processes. Nobody is told so: every
- * process orders the addresses that it knows alike, and one whose news come
- * late watches by itself, whatever it believes of the others.
+ * Decides whether a process watches the store itself or polls peers that do. A
+ * few watch for all, so that the store's calls, which are paid for, don't grow
+ * with the number of processes. There is no vote: all processes rank the
+ * addresses they know by the same hash, and one whose updates are late watches
+ * by itself.
  */
 import * as murmurhash from 'murmurhash';
 
-/**
- * Processes that watch, in a site that has more: two of them may go at once.
- * A site with no more has all of them watch.
- */
+/** Two of them may fail at once. */
 export const WATCHER_COUNT = 3;
 /**
- * Age of what is known at which a process no longer relies on others, in
- * milliseconds: a watch of theirs, a round of questions and a lost answer, and
- * well under the two seconds after which unknown keys may just be new ones.
+ * Covers a watcher's watch, a poll and a lost answer; below the two seconds
+ * after which an unknown key may be a new one.
  */
 const MAX_UPDATE_AGE_MS = 1_900;
-/**
- * Least time for which it then watches, and in which a process that has just
- * started meets its peers, in milliseconds.
- */
+/** Also gives a process that has just started time to discover its peers. */
 const MIN_WATCH_MS = 8_000;
 
-/** One process's part in watching the store. */
 export class WatcherElection {
   private watchUntil = 0;
 
   constructor(private readonly ownAddress: string) {}
 
-  /** `ageMs`: since the store last confirmed what this process knows. */
+  /**
+   * `ageMs`: since the store last confirmed what this process knows; `now`:
+   * milliseconds of the monotonic clock.
+   */
   shouldWatch(peers: readonly string[], ageMs: number, now: number): boolean {
     if (ageMs > MAX_UPDATE_AGE_MS) {
       this.watchUntil = now + MIN_WATCH_MS;
@@ -42,7 +37,7 @@
   }
 }
 
-/** Those of some addresses that should watch, as all processes see it. */
+/** The addresses that should watch the store; the same in every process. */
 export function electWatchers(addresses: readonly string[]): string[] {
   return [...addresses]
     .sort((a, b) => murmurhash.v3(a) - murmurhash.v3(b) || (a < b ? -1 : 1))
