--- a/src/bounded.ts
+++ b/src/bounded.ts
@@ -1,12 +1,12 @@
-/** Maps and sets that keep a bounded number, in the order in which it came. */
+/** Size limits for maps and sets. */
 
-/** Drops the oldest of what is kept, where that is more than `most`. */
+/** Removes the oldest entry if there are more than `maxSize`. */
 export function dropOldest<K>(
-  kept: Map<K, unknown> | Set<K>,
-  most: number,
+  entries: Map<K, unknown> | Set<K>,
+  maxSize: number,
 ): void {
-  const oldest = kept.keys().next();
-  if (kept.size > most && oldest.done !== true) {
-    kept.delete(oldest.value);
+  const oldest = entries.keys().next();
+  if (entries.size > maxSize && oldest.done !== true) {
+    entries.delete(oldest.value);
   }
 }
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -1,9 +1,9 @@
-/** A wall clock that never steps, for decisions that compare its readings. */
+/** A wall clock that doesn't jump when the system time is set. */
 import type {ClockAnchor} from './claims/types';
 
 const NANOSECONDS_PER_MILLISECOND = 1_000_000n;
 
-/** Milliseconds of the boot's monotonic clock, the same in every process. */
+/** Milliseconds of the system's monotonic clock, the same in every process. */
 export function monotonicMs(): number {
   return Number(process.hrtime.bigint() / NANOSECONDS_PER_MILLISECOND);
 }
--- a/src/grouping.ts
+++ b/src/grouping.ts
@@ -1,4 +1,4 @@
-/** Values by a key, in the order in which keys and values come. */
+/** Groups values by a key, in the order in which keys and values come. */
 export function groupBy<T, K>(
   values: Iterable<T>,
   keyOf: (value: T) => K,
@@ -6,11 +6,11 @@
   const groups = new Map<K, T[]>();
   for (const value of values) {
     const key = keyOf(value);
-    const members = groups.get(key);
-    if (members === undefined) {
+    const group = groups.get(key);
+    if (group === undefined) {
       groups.set(key, [value]);
     } else {
-      members.push(value);
+      group.push(value);
     }
   }
   return groups;
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Entry point of the one binary: only wires the commands. */
+/** Entry point of the program: registers the commands and sets the exit code. */
 import {Command, CommanderError} from 'commander';
 import * as site from '../platform/commands';
 import * as local from './commands/local';
@@ -33,7 +33,7 @@
     if (!(err instanceof CommanderError)) {
       throw err;
     }
-    // Commander has printed the reason already.
+    // Commander has already printed the reason.
     process.exitCode = err.exitCode === EXIT.ok ? EXIT.ok : EXIT.badUsage;
   }
 }
--- a/src/random.ts
+++ b/src/random.ts
@@ -1,4 +1,4 @@
-/** Random numbers of one process, seedable by tests and benches. */
+/** Pseudorandom numbers from one generator per process; not for secrets. */
 import * as xoroshiro from 'pure-rand/generator/xoroshiro128plus';
 
 let generator = makeGenerator(seedFromClock());
@@ -12,7 +12,7 @@
   return xoroshiro.xoroshiro128plus(seed);
 }
 
-/** Makes the sequence repeatable. */
+/** Makes the following numbers repeatable. */
 export function seed(value: number): void {
   generator = makeGenerator(value);
 }
@@ -23,17 +23,17 @@
   return (generator.next() >>> 0) / RANGE;
 }
 
-/** A whole number in [0, limit). */
+/** An integer in [0, limit). */
 export function integerBelow(limit: number): number {
   return Math.floor(uniform() * limit);
 }
 
-/** One element of a list that is not empty. */
+/** One element; the list must not be empty. */
 export function pick<T>(list: readonly T[]): T {
   return list[integerBelow(list.length)]!;
 }
 
-/** Some elements of a list, each at most once, in random order. */
+/** Up to `count` elements without replacement, in random order. */
 export function sample<T>(list: readonly T[], count: number): T[] {
   const left = [...list];
   const drawn: T[] = [];
@@ -43,12 +43,12 @@
   return drawn;
 }
 
-/** A duration between half and one and a half of the given one. */
+/** A duration from 0.5 to 1.5 times the given one. */
 export function jitter(milliseconds: number): number {
   return milliseconds * (0.5 + uniform());
 }
 
-/** A draw from the exponential distribution with the given mean. */
+/** A sample of the exponential distribution with the given mean. */
 export function exponential(mean: number): number {
   return -Math.log(1 - uniform()) * mean;
 }
--- a/src/roles/drained-halls.ts
+++ b/src/roles/drained-halls.ts
@@ -1,7 +1,7 @@
 /**
- * Halls that the operator has emptied by objects of the store, as the store or peers
- * tell them. One that an older copy of the store lacks stays empty for a while: the
- * operator writes it again.
+ * Tracks the halls that operators have drained with objects in the store, as the
+ * store or peers report them. A hall missing from a store that was restored from a
+ * backup stays drained for a while, since its object is written again.
  */
 import type {Log} from '../observability/log';
 import {KindReplica} from '../peers/kind-replica';
@@ -10,22 +10,21 @@
 import * as objects from '../platform/types';
 import type {WatchEvent} from '../platform/watch-loop';
 
-/** Time in which the operator has written again, in milliseconds. */
 const ROLLBACK_RETENTION_MS = 4_000;
 
 export class DrainedHalls {
   readonly replica: KindReplica;
-  /** Halls that get nothing. */
+  /** All drained halls. */
   private halls: ReadonlySet<string> = new Set();
-  /** Those that the store lists. */
+  /** Those in the store's latest listing. */
   private listed: ReadonlySet<string> = new Set();
-  /** Those of before it came back from a copy, while they count. */
+  /** Those from before the last rollback of the store, for a while. */
   private retained: ReadonlySet<string> = new Set();
   private retainedTimer: NodeJS.Timeout | undefined;
-  /** Of the store's last word. */
+  /** Era of the last update. */
   private era = 0;
 
-  /** `apply` is told which halls get nothing, each time that this changes. */
+  /** `apply` is called with all drained halls after each update. */
   constructor(
     kind: string,
     private readonly apply: (halls: ReadonlySet<string>) => void,
@@ -34,17 +33,16 @@
     this.replica = new KindReplica(kind);
   }
 
-  /** Takes what the own watch says. */
   applyWatchEvent(event: WatchEvent): void {
     if (this.replica.applyWatchEvent(event)) {
       this.applyEvent(event);
     }
   }
 
-  /** Takes what a peer was asked for at `askedAt`. */
-  applyPeerUpdate(news: KindUpdate, askedAt: number): void {
+  /** `askedAt`: when the peer was asked, by the monotonic clock. */
+  applyPeerUpdate(update: KindUpdate, askedAt: number): void {
     this.replica
-      .applyPeerUpdate(news, askedAt)
+      .applyPeerUpdate(update, askedAt)
       .forEach(event => this.applyEvent(event));
   }
 
--- a/src/roles/entry.ts
+++ b/src/roles/entry.ts
@@ -1,4 +1,4 @@
-/** The entry: wires the aggregates of a process that callers reach. */
+/** The entry: the process that takes callers' requests. */
 import type * as http from 'node:http';
 import {Subscription} from 'rxjs';
 import * as claims from '../claims/owner-directory';
@@ -31,7 +31,6 @@
 const DEFAULT_RETRY_SHARE = 0.1;
 const STARTUP_RETRY_AFTER_MS = 1_000;
 
-/** A running entry. */
 export class Entry {
   private readonly store: HttpObjectApi;
   private readonly rpc: RpcClient;
@@ -67,7 +66,7 @@
     this.registerHandlers();
   }
 
-  /** Where this entry listens. */
+  /** Address at which this entry listens. */
   get address(): string {
     return this.listener?.address ?? this.cfg.listen;
   }
@@ -87,12 +86,11 @@
     return this.address;
   }
 
-  /** Resolves when the entry is ready. */
   async whenReady(): Promise<void> {
     await this.follower.start();
   }
 
-  /** Resolves when this many targets have told of themselves. */
+  /** Resolves when this many targets have reported. */
   async whenTargetsKnown(count: number): Promise<void> {
     const POLL_MS = 20;
     while (this.targets.all().length < count) {
@@ -100,18 +98,18 @@
     }
   }
 
-  /** Planned stop: answers what is in flight, takes nothing new. */
+  /** Planned stop: finishes the requests in flight, then closes. */
   async stop(): Promise<void> {
     this.stopping = true;
     this.log.event('processStopping', {inFlight: this.handler.openCount});
-    // Callers that come meanwhile are still served: the balancer learns from
-    // the readiness check, and a refusal would cost them a try.
+    // New requests are still served: callers are moved away by the readiness
+    // check, and a refusal would cost them a retry.
     await waitUntilIdle(() => this.handler.openCount, this.cfg.stopPatienceMs);
     this.listener?.drain();
     await this.close();
   }
 
-  /** Ends at once. */
+  /** Closes at once, also with requests in flight. */
   async close(): Promise<void> {
     this.ready = false;
     this.subscriptions.unsubscribe();
@@ -189,7 +187,7 @@
       return;
     }
     if (this.stopping) {
-      // Ends kept-alive connections as they answer.
+      // Closes keep-alive connections after their current response.
       res.setHeader('connection', 'close');
     }
     await this.handler.handle(req, res);
--- a/src/roles/metrics-endpoint.ts
+++ b/src/roles/metrics-endpoint.ts
@@ -1,4 +1,4 @@
-/** The address at which a process of a site tells its figures. */
+/** The address at which a process of a site serves its metrics. */
 import * as http from 'node:http';
 import * as httpServer from '../http/server';
 import type {Metrics} from '../observability/metrics';
@@ -6,7 +6,7 @@
 
 const METRICS_PATH = '/metrics';
 
-/** Serves the figures as Prometheus text. */
+/** Serves the metrics in the Prometheus text format. */
 export async function serveMetrics(
   address: string,
   metrics: Metrics,
--- a/src/roles/process-endpoints.ts
+++ b/src/roles/process-endpoints.ts
@@ -6,32 +6,34 @@
 import type {RpcServer} from '../rpc/server';
 import {RPC_PATH} from '../rpc/types';
 
-/** What a process shows of itself. */
+/** What the endpoints of a process expose. */
 export interface ProcessEndpoints {
   readonly rpc: RpcServer;
   readonly metrics: Metrics;
   isReady(): boolean;
 }
 
-/** Answers a process path; false where the path is none of them. */
+/** Answers a request for one of these paths; returns false for other paths. */
 export async function answerProcessPath(
-  face: ProcessEndpoints,
+  endpoints: ProcessEndpoints,
   req: http.IncomingMessage,
   res: http.ServerResponse,
 ): Promise<boolean> {
   const path = (req.url ?? '/').split('?')[0];
   switch (path) {
     case RPC_PATH:
-      await face.rpc.answer(req, res);
+      await endpoints.rpc.answer(req, res);
       return true;
     case '/healthz':
       body.sendJson(res, 200, {alive: true});
       return true;
     case '/readyz':
-      body.sendJson(res, face.isReady() ? 200 : 503, {ready: face.isReady()});
+      body.sendJson(res, endpoints.isReady() ? 200 : 503, {
+        ready: endpoints.isReady(),
+      });
       return true;
     case '/metrics': {
-      const page = await prometheus.printPage(face.metrics.samples());
+      const page = await prometheus.printPage(endpoints.metrics.samples());
       res.writeHead(200, {'content-type': page.type});
       res.end(page.text);
       return true;
--- a/src/roles/rpc-endpoint.ts
+++ b/src/roles/rpc-endpoint.ts
@@ -1,4 +1,4 @@
-/** The address at which a process of a site takes calls of others. */
+/** The address at which a process of a site takes RPC calls. */
 import * as http from 'node:http';
 import * as httpServer from '../http/server';
 import type {Log} from '../observability/log';
--- a/src/roles/settings.ts
+++ b/src/roles/settings.ts
@@ -3,6 +3,7 @@
 import {addressSchema} from '../http/address';
 import * as settings from '../settings/types';
 
+/** One day. */
 const MAX_DURATION_MS = 86_400_000;
 
 const addressListSchema = v.pipe(
--- a/src/roles/sidecar.ts
+++ b/src/roles/sidecar.ts
@@ -1,4 +1,4 @@
-/** The sidecar: wires the aggregates of the process beside one target. */
+/** The sidecar: the process beside one target. */
 import {randomUUID} from 'node:crypto';
 import * as fs from 'node:fs';
 import type * as http from 'node:http';
@@ -56,7 +56,6 @@
   maxLeadMs: 5_000,
 };
 
-/** A running sidecar. */
 export class Sidecar {
   private readonly store: HttpObjectApi;
   private readonly rpc: RpcClient;
@@ -103,14 +102,14 @@
     });
   }
 
-  /** Where this sidecar listens. */
+  /** Address at which this sidecar listens. */
   get address(): string {
     return this.listener?.address ?? this.cfg.listen;
   }
 
   /**
-   * Listens first: to hold the address proves that the process before this
-   * one has ended. Then it catches up and becomes ready.
+   * Listens first: holding the address proves that the previous process has
+   * ended. Then it catches up on the configuration and becomes ready.
    */
   async open(): Promise<string> {
     this.listener = await httpServer.listen(
@@ -128,7 +127,10 @@
     return this.address;
   }
 
-  /** Planned stop: no new work, hand over, finish what runs, end. */
+  /**
+   * Planned stop: takes no new work, hands its keys over, finishes what runs,
+   * then closes.
+   */
   async stop(): Promise<void> {
     this.log.event('processStopping', {inFlight: this.openCount});
     this.leave('stop');
@@ -138,7 +140,7 @@
     await this.close();
   }
 
-  /** Ends at once. */
+  /** Closes at once, also with requests in flight. */
   async close(): Promise<void> {
     this.ready = false;
     clearTimeout(this.evictionTimer);
@@ -287,11 +289,11 @@
   }
 
   private liveTargetIds(): string[] {
-    const mates = this.follower.instances.filter(
+    const live = this.follower.instances.filter(
       instance =>
         instance.serves === this.cfg.serves && instance.state === 'live',
     );
-    const ids = new Set(mates.map(instance => instance.id));
+    const ids = new Set(live.map(instance => instance.id));
     if (this.leaving) {
       ids.delete(this.cfg.id);
     } else {
@@ -328,7 +330,7 @@
     const service = this.serves.name;
     for (let round = 0; round < MAX_HANDOVER_ROUNDS; round += 1) {
       const slots = this.follower.replica.service(service)?.slots ?? 1;
-      const mates = this.follower.instances.filter(
+      const successors = this.follower.instances.filter(
         i =>
           i.serves === this.cfg.serves &&
           i.state === 'live' &&
@@ -339,7 +341,7 @@
         runs,
         service,
         slots,
-        mates.map(mate => mate.address),
+        successors.map(successor => successor.address),
         this.rpc,
         this.log,
       );
@@ -353,14 +355,14 @@
   }
 
   private report(): targets.TargetReport {
-    const isAway = this.probe?.isReachable === false;
-    const live = isAway ? 'unreachable' : 'live';
+    const isUnreachable = this.probe?.isReachable === false;
+    const liveState = isUnreachable ? 'unreachable' : 'live';
     return {
       id: this.cfg.id,
       hall: this.cfg.hall,
       address: this.address,
       serves: this.serves,
-      state: this.leaving ? 'leaving' : live,
+      state: this.leaving ? 'leaving' : liveState,
       load: this.load(),
     };
   }
@@ -382,12 +384,12 @@
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
-    const face = {
+    const endpoints = {
       rpc: this.rpcServer,
       metrics: this.metrics,
       isReady: () => this.ready && !this.leaving,
     };
-    if (await answerProcessPath(face, req, res)) {
+    if (await answerProcessPath(endpoints, req, res)) {
       return;
     }
     if (!this.ready) {
@@ -454,8 +456,8 @@
     if (this.service === undefined || !url.startsWith(prefix)) {
       incoming.req.resume();
       const refusal = refusals.notRun('not-found', `nothing under ${url}`);
-      const honest = refusals.withUnconfirmedOutcome(incoming.req, refusal);
-      refusals.sendRefusal(incoming.res, honest, incoming.id);
+      const answer = refusals.withUnconfirmedOutcome(incoming.req, refusal);
+      refusals.sendRefusal(incoming.res, answer, incoming.id);
       return;
     }
     await this.service.run(incoming, url.slice(prefix.length - 1));
@@ -496,7 +498,7 @@
   try {
     return fs.readFileSync(BOOT_ID_FILE, 'utf8').trim();
   } catch {
-    // Without a boot id no predecessor can be proved dead.
+    // A random id never matches, so no predecessor counts as dead by its boot.
     return randomUUID();
   }
 }
--- a/src/roles/site-documents.ts
+++ b/src/roles/site-documents.ts
@@ -1,10 +1,10 @@
-/** What a site's store holds and means; decoded outside the core. */
+/** The kinds of objects in a site's store, and how their documents are parsed. */
 import type {Engine} from '../experts/types';
 import type {Target} from '../forwarding/types';
 import type {Result} from '../result';
 import type {Snapshot} from '../routes/types';
 
-/** Why a document can't be used; the detail names the field. */
+/** Why a document is invalid; the detail names the field. */
 export interface DocumentError {
   readonly detail: string;
 }
@@ -13,15 +13,15 @@
   readonly configurationKind: string;
   readonly configurationKey: string;
   readonly targetsKind: string;
-  /** Kind of the objects that name halls which the operator has emptied. */
+  /** Kind of the objects that name drained halls. */
   readonly emptiedHallsKind: string;
-  /** Kind of the objects that hold planners' seats. */
+  /** Kind of the objects that record the elected planners. */
   readonly seatKind: string;
-  /** Path at which an entry is asked whether it is ready. */
+  /** Path of an entry's readiness check. */
   readonly readyPath: string;
   makeEngine(address: string): Engine;
   readSnapshot(document: unknown): Result<Snapshot, DocumentError>;
-  /** Fails where the entry names no target. */
+  /** Fails if the document names no target. */
   readTarget(
     id: string,
     revision: number,
--- a/src/roles/site-entry.ts
+++ b/src/roles/site-entry.ts
@@ -1,4 +1,4 @@
-/** The entry of a site: takes callers' requests to targets that it knows. */
+/** The entry of a site: forwards callers' requests to the targets that it knows. */
 import * as http from 'node:http';
 import {TargetConnections} from '../forwarding/target-connections';
 import {LoadBalancer} from '../forwarding/load-balancer';
@@ -22,13 +22,12 @@
 import type {SiteSettings} from './site-settings';
 
 /**
- * After a planned stop: milliseconds until connections are closed. By then
- * the platform has seen two failed status checks and sends no new ones.
+ * Delay after a planned stop; by then the platform has seen two failed status
+ * checks and sends no new connections.
  */
 const CLOSE_CONNECTIONS_DELAY_MS = 2_500;
-/** How often idle connections are closed after that, in milliseconds. */
 const CLOSE_IDLE_INTERVAL_MS = 100;
-/** Part of the grace period after which the process ends anyway. */
+/** Share of the grace period after which a stop no longer waits for requests. */
 const GRACE_PERIOD_SHARE = 0.95;
 
 export class SiteEntry {
@@ -76,17 +75,17 @@
       ranks: () => targets.ranks(),
       knownEntryCount: () => this.site.knownEntryCount,
       onGroupState: ({service, group}, isOpen, at) => {
-        const word = group && gate.noteReport(group, isOpen, at);
-        if (word !== undefined && word !== 'known') {
-          const event = word === 'closed' ? 'groupClosed' : 'groupOpen';
+        const change = group && gate.noteReport(group, isOpen, at);
+        if (change !== undefined && change !== 'known') {
+          const event = change === 'closed' ? 'groupClosed' : 'groupOpen';
           log.event(event, {service, group, by: 'sidecar'});
         }
       },
       inFlight: lifetime => this.balancer.inFlight(lifetime),
     });
     this.balancer = new LoadBalancer(cfg.hall, this.views);
-    this.suspensionDetector.suspensions.subscribe(lostMs => {
-      this.site.age(lostMs);
+    this.suspensionDetector.suspensions.subscribe(suspendedMs => {
+      this.site.age(suspendedMs);
       this.views.clear();
     });
     this.forwarder = new Forwarder({
@@ -108,7 +107,6 @@
     });
   }
 
-  /** True where a request that comes now can be served. */
   get isReady(): boolean {
     return (
       !this.isStopping &&
@@ -117,7 +115,7 @@
     );
   }
 
-  /** True while it watches the store itself. */
+  /** True while this process watches the store itself. */
   get isWatching(): boolean {
     return this.site.isWatching;
   }
@@ -131,8 +129,9 @@
     );
     if (cfg.readyAddress !== undefined) {
       const ready = http.createServer((req, res) => {
-        const isAsked = req.url?.split('?', 1)[0] === this.documents.readyPath;
-        res.writeHead(isAsked ? (this.isReady ? 200 : 503) : 404);
+        const isReadyPath =
+          req.url?.split('?', 1)[0] === this.documents.readyPath;
+        res.writeHead(isReadyPath ? (this.isReady ? 200 : 503) : 404);
         res.end();
       });
       this.servers.push(await httpServer.bind(cfg.readyAddress, ready));
@@ -145,12 +144,12 @@
     this.site.open(this.rpcServer);
   }
 
-  /** New settings are in the file; those of an entry hold for its life. */
+  /** Only logs: an entry keeps the settings that it started with. */
   reload(): void {
     this.log.event('settingsReloaded', {id: this.cfg.id});
   }
 
-  /** Planned stop: answers what was read, then ends. */
+  /** Planned stop: finishes the requests in flight, then closes. */
   async stop(): Promise<void> {
     const endsAt =
       performance.now() + this.cfg.gracePeriodMs * GRACE_PERIOD_SHARE;
@@ -168,7 +167,7 @@
     this.close();
   }
 
-  /** Ends at once. */
+  /** Closes at once, also with requests in flight. */
   close(): void {
     this.suspensionDetector.close();
     this.site.close();
--- a/src/roles/site-follower.ts
+++ b/src/roles/site-follower.ts
@@ -1,6 +1,7 @@
 /**
- * What an entry knows of its site: the configuration in force and the targets,
- * as the store tells them, or peers while the store is silent.
+ * Keeps what an entry knows of its site: the current configuration, the targets
+ * and the drained halls. Updates come from the store or, while that is out of
+ * reach or left to others to watch, from peers.
  */
 import * as rxjs from 'rxjs';
 import {CrashCoordinator} from '../crashes/crash-coordinator';
@@ -9,13 +10,13 @@
 import type {Target} from '../forwarding/types';
 import type {SuspensionDetector} from '../suspension-detector';
 import type {Log} from '../observability/log';
-import * as peersApp from '../peers/rpc-methods';
+import * as peerMethods from '../peers/rpc-methods';
 import {KindReplica} from '../peers/kind-replica';
 import {PeerDirectory} from '../peers/peer-directory';
 import {PeerPoller} from '../peers/peer-poller';
 import {PeerRanking} from '../peers/peer-ranking';
 import type {LastContact} from '../peers/last-contact';
-import * as watchDuty from '../peers/watcher-election';
+import * as election from '../peers/watcher-election';
 import type {KindUpdate} from '../peers/types';
 import type {ObjectApi} from '../platform/client';
 import * as revisions from '../platform/revisions';
@@ -32,46 +33,37 @@
 import type {SiteSettings} from './site-settings';
 
 /**
- * Milliseconds that a watch of the configuration waits. An answer proves that
- * nothing newer exists, and keys are trusted for a few seconds after it.
+ * Short, since each answer proves that nothing newer exists, and API keys are
+ * trusted only for a few seconds after one.
  */
 const CONFIGURATION_WAIT_MS = 1_800;
-/** And where others rely on it, who hear of it some tenths of a second later. */
+/** Shorter still while other entries poll this one for updates. */
 const SHARED_CONFIGURATION_WAIT_MS = 1_000;
-/**
- * Milliseconds that a watch of the targets waits. It need not tell that the
- * store is out of reach: the other watch does.
- */
+/** Long, since the watch of the configuration detects an unreachable store. */
 const TARGETS_WAIT_MS = 20_000;
-/** And a watch of the halls that the operator has emptied; the store's longest. */
+/** The longest wait that the store allows. */
 const DRAINED_HALLS_WAIT_MS = 30_000;
-/** Time after an outage in which entries may still be coming back. */
+/** Time after an outage in which targets may still write their entries again. */
 const OUTAGE_GRACE_MS = 1_000;
-/**
- * Milliseconds without the store after which peers are asked, where no call
- * has failed: a watch's wait, and the time of a store that is a little slow.
- */
+/** Age of the configuration at which peers are polled though no call has failed. */
 const MAX_STORE_SILENCE_MS = 2_000;
-/**
- * Milliseconds without an answer from any other process after which this one
- * counts as cut off: some rounds of questions to peers.
- */
+/** Time without an answer from any peer or target; covers several polls. */
 const ISOLATION_TIMEOUT_MS = 1_500;
 
-/** The store's kinds, as this process watches them itself. */
+/** One watch for each kind of store objects. */
 interface WatchLoops {
   readonly configuration: WatchLoop;
   readonly targets: WatchLoop;
   readonly drainedHalls: WatchLoop;
 }
 
-/** What following a site needs of its process. */
+/** What the follower uses of its process. */
 export interface SiteFollowerContext {
   readonly cfg: SiteSettings;
   readonly documents: SiteDocuments;
   readonly store: ObjectApi;
   readonly rpc: RpcClient;
-  /** Where this process takes calls. */
+  /** Address at which this process takes calls. */
   readonly rpcAddress: string;
   readonly lastContact: LastContact;
   readonly suspensionDetector: SuspensionDetector;
@@ -84,7 +76,7 @@
   readonly configuration = new CurrentConfiguration();
   readonly targets = new TargetList(change => this.logTargetChange(change));
   private loops: WatchLoops | undefined;
-  private readonly watcherElection: watchDuty.WatcherElection;
+  private readonly watcherElection: election.WatcherElection;
   private readonly configurationReplica: KindReplica;
   private readonly snapshots = new WeakMap<
     objects.StoredObject,
@@ -92,14 +84,13 @@
   >();
   private readonly targetsReplica: KindReplica;
   private readonly drainedHalls: DrainedHalls;
-  /** Of the store's last word on targets; undefined before the first. */
+  /** Era of the last targets update; undefined before the first. */
   private era: number | undefined;
   private readonly peerDirectory: PeerDirectory;
   private readonly peerPoller: PeerPoller;
   private readonly limits: LimitCoordinator;
-  /** Requests that crash targets. */
   readonly crashes: CrashCoordinator;
-  /** Emits once requests can be routed, now or at any time before. */
+  /** Replays to late subscribers. */
   private readonly becameRoutable = new rxjs.ReplaySubject<void>(1);
   private isStoreDown = false;
   private graceUntil = 0;
@@ -108,7 +99,7 @@
   constructor(private readonly context: SiteFollowerContext) {
     const {documents, cfg} = context;
     const {configurationKind, targetsKind, emptiedHallsKind} = documents;
-    this.watcherElection = new watchDuty.WatcherElection(context.rpcAddress);
+    this.watcherElection = new election.WatcherElection(context.rpcAddress);
     this.configurationReplica = new KindReplica(configurationKind, object => {
       const read = this.readSnapshot(object);
       return read.ok ? read.value.version : undefined;
@@ -145,18 +136,19 @@
         this.configuration.ageMs(now) > MAX_STORE_SILENCE_MS,
       watchers: now => this.updateWatching(now),
       digests: () => this.replicas.map(copy => copy.currentDigest),
-      applyUpdates: (news, askedAt) => this.applyPeerUpdates(news, askedAt),
+      applyUpdates: (updates, askedAt) =>
+        this.applyPeerUpdates(updates, askedAt),
       applyQuarantines: convicted => this.crashes.applyNotices(convicted),
       onAnswer: () => context.lastContact.recordAnswer(),
     });
   }
 
-  /** True once requests can be routed somewhere. */
+  /** True once there is a configuration and a target has been seen. */
   get isRoutable(): boolean {
     return this.configuration.table !== undefined && this.hasSeenTargets;
   }
 
-  /** Resolves once requests can be routed somewhere, or after the wait. */
+  /** Resolves once requests can be routed, or after `waitMs`. */
   async whenRoutable(waitMs: number): Promise<void> {
     if (!this.isRoutable) {
       await rxjs.firstValueFrom(
@@ -173,16 +165,15 @@
     return this.loops !== undefined;
   }
 
-  /** Processes of this role that are known, this one among them. */
+  /** Includes this process. */
   get knownEntryCount(): number {
     return 1 + this.peerDirectory.known.length;
   }
 
   /**
-   * True where callers are better served by another entry: this one has heard
-   * nothing lately, neither from the store nor from a peer or target. Where
-   * the store alone is silent, an entry goes on serving: the others hear no
-   * more of it, or they would have told.
+   * True if this process has had no recent contact with the store, a peer or a
+   * target, so callers are better served by another entry. An entry that has
+   * lost only the store goes on serving, since its peers would pass on updates.
    */
   isIsolated(now: number): boolean {
     return (
@@ -192,25 +183,27 @@
     );
   }
 
-  /** This instance was suspended: all that is believed is older by so much. */
-  age(lostMs: number): void {
-    this.configuration.age(lostMs);
-    this.replicas.forEach(copy => copy.age(lostMs));
-    this.context.lastContact.age(lostMs);
+  /** Makes all knowledge older by the time of a suspension. */
+  age(suspendedMs: number): void {
+    this.configuration.age(suspendedMs);
+    this.replicas.forEach(replica => replica.age(suspendedMs));
+    this.context.lastContact.age(suspendedMs);
     this.limits.handleResume();
-    this.context.log.event('instanceSuspended', {lostMs: Math.round(lostMs)});
+    this.context.log.event('instanceSuspended', {
+      lostMs: Math.round(suspendedMs),
+    });
   }
 
-  /** Starts to follow, and to answer peers on `server`. */
+  /** Starts to follow the site and to answer peers on `server`. */
   open(server: RpcServer): void {
-    server.handle(peersApp.pullUpdates, call => {
+    server.handle(peerMethods.pullUpdates, call => {
       this.context.suspensionDetector.check();
       this.peerDirectory.add([call.from]);
       const now = performance.now();
       const isSettling = now < this.graceUntil;
-      const kinds = this.replicas.flatMap(copy => {
-        const held = call.held.find(one => one.kind === copy.kind);
-        return copy.updateFor(held, isSettling, now) ?? [];
+      const kinds = this.replicas.flatMap(replica => {
+        const held = call.held.find(one => one.kind === replica.kind);
+        return replica.updateFor(held, isSettling, now) ?? [];
       });
       const convicted = this.crashes.quarantineNotices();
       return {kinds, peers: this.peerDirectory.chooseToShare(), convicted};
@@ -229,10 +222,7 @@
     this.peerPoller.close();
   }
 
-  /**
-   * Watches the store or leaves that to others, and tells to whom: its calls are
-   * paid for, and would grow with the entries.
-   */
+  /** Starts or stops watching the store; returns the peers to poll instead. */
   private updateWatching(now: number): readonly string[] {
     const peers = this.peerDirectory.known;
     if (
@@ -246,7 +236,7 @@
       return [];
     }
     this.stopWatching();
-    return watchDuty.electWatchers(peers);
+    return election.electWatchers(peers);
   }
 
   private watch(): void {
@@ -256,7 +246,7 @@
     const {store, documents, log} = this.context;
     const {configurationKind, targetsKind, emptiedHallsKind} = documents;
     const isShared = () =>
-      this.peerDirectory.known.length >= watchDuty.WATCHER_COUNT;
+      this.peerDirectory.known.length >= election.WATCHER_COUNT;
     const configuration = new WatchLoop(store, configurationKind, () =>
       isShared() ? SHARED_CONFIGURATION_WAIT_MS : CONFIGURATION_WAIT_MS,
     );
@@ -311,13 +301,13 @@
     ];
   }
 
-  /** True where the peer has heard from the store lately. */
+  /** True if the peer has had recent contact with the store. */
   private applyPeerUpdates(
-    news: readonly KindUpdate[],
+    updates: readonly KindUpdate[],
     askedAt: number,
   ): boolean {
     let isFresh = false;
-    for (const one of news) {
+    for (const one of updates) {
       if (one.kind === this.configurationReplica.kind) {
         this.configurationReplica
           .applyPeerUpdate(one, askedAt)
@@ -387,7 +377,7 @@
     }
   }
 
-  /** Reads each object once: it may be large, and is compared and applied. */
+  /** Parses each object once: it may be large, and is compared and applied. */
   private readSnapshot(
     object: objects.StoredObject,
   ): Result<Snapshot, DocumentError> {
@@ -421,7 +411,7 @@
     }
   }
 
-  /** `inGrace`: entries that are missing may still be coming back. */
+  /** `inGrace`: missing targets may still write their entries again. */
   private applyTargetsEvent(event: WatchEvent, inGrace: boolean): void {
     if (event.kind !== 'listed' && event.kind !== 'changed') {
       return;
@@ -429,11 +419,11 @@
     const now = performance.now();
     const {items, removed, revision} = event.listing;
     const {found, unread} = this.readTargets(items);
-    const detectRollback = this.isSetBack(revision, now);
+    const isRolledBack = this.detectRollback(revision, now);
     if (event.kind === 'listed') {
-      // An older copy lacks targets that will write there again.
-      const mayComeBack = inGrace || detectRollback;
-      this.targets.replaceAll(found, now, mayComeBack, unread);
+      // A restored backup lacks targets that will write their entries again.
+      const mayReturn = inGrace || isRolledBack;
+      this.targets.replaceAll(found, now, mayReturn, unread);
     } else {
       found.forEach(target => this.targets.add(target));
       removed.forEach(key =>
@@ -445,19 +435,19 @@
     this.context.onTargets();
   }
 
-  /** True where the store came back from an older copy since the last word. */
-  private isSetBack(revision: StoreRevision, now: number): boolean {
+  /** True if the store was restored from a backup since the last update. */
+  private detectRollback(revision: StoreRevision, now: number): boolean {
     const era = revisions.eraOf(revision);
-    const isSetBack = this.era !== undefined && era > this.era;
-    if (isSetBack) {
+    const isRolledBack = this.era !== undefined && era > this.era;
+    if (isRolledBack) {
       this.graceUntil = Math.max(this.graceUntil, now + OUTAGE_GRACE_MS);
       this.context.log.event('storeSetBack', {era, before: this.era});
     }
     this.era = Math.max(era, this.era ?? era);
-    return isSetBack;
+    return isRolledBack;
   }
 
-  /** `unread`: names of entries that tell of no target. */
+  /** `unread`: names of the objects that name no target. */
   private readTargets(items: readonly objects.StoredObject[]) {
     const {documents, log} = this.context;
     const found: Target[] = [];
--- a/src/roles/site-settings.ts
+++ b/src/roles/site-settings.ts
@@ -1,16 +1,15 @@
-/** What a process needs to know of the site that it runs at. */
+/** Settings of the processes of a site. */
 
-/** Bounds of the retries that all entries of a site may make together. */
+/** Limits on the retries that all entries of a site may make together. */
 export interface RetryBudgetSettings {
-  /** Retries per request of the window. */
+  /** Retries allowed per request of the window. */
   readonly share: number;
   readonly windowMs: number;
-  /** Retries in a window beside the share. */
+  /** Retries allowed in a window in addition to the share. */
   readonly extra: number;
 }
 
 export interface SiteSettings {
-  /** Name of the instance. */
   readonly id: string;
   /** IP address of the instance. */
   readonly host: string;
@@ -18,25 +17,25 @@
   /** Port for calls between the system's own processes. */
   readonly rpcPort: number;
   readonly metricsPort: number;
-  /** Where an entry listens for callers. */
+  /** Address at which an entry listens for callers. */
   readonly callersAddress: string | undefined;
-  /** Where an entry tells whether it is ready. */
+  /** Address of an entry's readiness check. */
   readonly readyAddress: string | undefined;
-  /** Calls between entries: where some others take them; may be stale. */
+  /** Addresses at which some other entries take calls; may be stale. */
   readonly seeds: readonly string[];
   readonly storeAddress: string;
-  /** The target that a sidecar stands beside. */
+  /** The target beside a sidecar. */
   readonly targetAddress: string | undefined;
   readonly targetService: string | undefined;
   /** Time within which a leaving target gets no more work. */
   readonly drainMs: number;
-  /** Time from a planned stop to the kill. */
+  /** Time from the start of a planned stop to the kill. */
   readonly gracePeriodMs: number;
-  /** Time within which a key that was taken away must stop working. */
+  /** Time within which a revoked API key must stop working. */
   readonly revocationMs: number;
-  /** False: while the store is away, keys go on working for longer. */
+  /** False: while the store is unreachable, keys go on working for longer. */
   readonly isRevocationStrict: boolean;
   readonly retryBudget: RetryBudgetSettings;
-  /** Time that a group stands still before its requests are cut. */
+  /** Time without progress of a group after which its requests are aborted. */
   readonly stallMs: number;
 }
--- a/src/roles/site-sidecar.ts
+++ b/src/roles/site-sidecar.ts
@@ -1,4 +1,4 @@
-/** The sidecar of a site: speaks for the rank beside it. */
+/** The sidecar of a site: represents the rank that runs beside it. */
 import * as crypto from 'node:crypto';
 import type * as http from 'node:http';
 import * as experts from '../experts/app';
@@ -105,12 +105,12 @@
     this.log.event('processReady', {id: this.cfg.id, hall: this.cfg.hall});
   }
 
-  /** New settings are in the file; those of a sidecar hold for its life. */
+  /** Only logs: a sidecar keeps the settings that it started with. */
   reload(): void {
     this.log.event('settingsReloaded', {id: this.cfg.id});
   }
 
-  /** Nothing is in flight here that a planner would not ask for again. */
+  /** Doesn't wait for calls in flight: a planner repeats them. */
   async stop(): Promise<void> {
     this.log.event('processStopping', {inFlight: 0});
     await this.member?.close();
--- a/src/roles/wait-until-idle.ts
+++ b/src/roles/wait-until-idle.ts
@@ -1,14 +1,13 @@
-/** Waiting for work in flight. */
 const POLL_INTERVAL_MS = 20;
 
-/** Resolves once nothing is open, or after the patience. True: idle. */
+/** Polls until nothing is open or the timeout has passed. Returns true if idle. */
 export async function waitUntilIdle(
   openCount: () => number,
-  patienceMs: number,
+  timeoutMs: number,
 ): Promise<boolean> {
-  const giveUpAt = Date.now() + patienceMs;
+  const deadlineAt = Date.now() + timeoutMs;
   while (openCount() > 0) {
-    if (Date.now() >= giveUpAt) {
+    if (Date.now() >= deadlineAt) {
       return false;
     }
     await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
--- a/src/suspension-detector.ts
+++ b/src/suspension-detector.ts
@@ -1,27 +1,26 @@
 /**
- * Time in which this instance was suspended. The runtime's monotonic clock stands
- * still then, so what was believed before looks as fresh as it did, and a key that was
- * taken away meanwhile would work. The time since boot and the time of day go on. The
- * latter may be set by anybody, and the former may be counted elsewhere than the
- * others: only what both have counted beyond the monotonic clock was lost.
+ * Detects that this instance was suspended. The monotonic clock stands still during a
+ * suspension, so cached state would look fresh after it and a revoked API key would
+ * still work. The wall clock and the uptime go on, but the wall clock may be set and
+ * the uptime may come from another host: only time by which both have run ahead of the
+ * monotonic clock counts.
  */
 import * as os from 'node:os';
 import {Subject} from 'rxjs';
 
-/** Less than this is no suspension, in milliseconds: clocks are read one by one. */
+/** Allows for the time between readings of the clocks. */
 const MIN_SUSPENSION_MS = 100;
-/** Time between looks of its own, in milliseconds. */
 const CHECK_INTERVAL_MS = 500;
 const MS_PER_SECOND = 1_000;
 
-/** What clocks have counted beyond the monotonic one, in milliseconds. */
+/** Milliseconds by which other clocks are ahead of the monotonic one. */
 interface ClockOffsets {
   readonly wallClock: number;
   readonly uptime: number;
 }
 
 export class SuspensionDetector {
-  /** Milliseconds that were lost, each time that some were noticed. */
+  /** Emits the milliseconds of each suspension detected. */
   readonly suspensions = new Subject<number>();
   private lastOffsets = readClockOffsets();
   private readonly timer = setInterval(
@@ -29,10 +28,10 @@
     CHECK_INTERVAL_MS,
   ).unref();
 
-  /** To be called before anything is decided by what was believed before. */
+  /** Call before any decision that relies on the age of cached state. */
   check(): void {
-    const ofDay = Date.now() - performance.now();
-    if (ofDay - this.lastOffsets.wallClock >= MIN_SUSPENSION_MS) {
+    const wallClock = Date.now() - performance.now();
+    if (wallClock - this.lastOffsets.wallClock >= MIN_SUSPENSION_MS) {
       this.compareClocks();
     }
   }
@@ -43,14 +42,14 @@
   }
 
   private compareClocks(): void {
-    const now = readClockOffsets();
-    const lostMs = Math.min(
-      now.wallClock - this.lastOffsets.wallClock,
-      now.uptime - this.lastOffsets.uptime,
+    const offsets = readClockOffsets();
+    const suspendedMs = Math.min(
+      offsets.wallClock - this.lastOffsets.wallClock,
+      offsets.uptime - this.lastOffsets.uptime,
     );
-    this.lastOffsets = now;
-    if (lostMs >= MIN_SUSPENSION_MS) {
-      this.suspensions.next(lostMs);
+    this.lastOffsets = offsets;
+    if (suspendedMs >= MIN_SUSPENSION_MS) {
+      this.suspensions.next(suspendedMs);
     }
   }
 }
