--- a/src/configuration/edit.ts
+++ b/src/configuration/edit.ts
@@ -1,6 +1,6 @@
 /**
- * Operators' edits: conditional updates that carry a change id. A writer
- * that lost the answer reads back and knows; a conflict shows both sides.
+ * Operators' edits of configuration documents: conditional writes that carry a
+ * change id, by which a write whose answer was lost is recognised.
  */
 import {randomUUID} from 'node:crypto';
 import * as v from 'valibot';
@@ -10,7 +10,7 @@
 import * as render from './render';
 import * as types from './types';
 
-/** Why an edit was not accepted. */
+/** Why an edit was not accepted, or may not have been. */
 export type EditError =
   | PlatformError
   /** Somebody else changed the document; nothing was overwritten. */
@@ -23,10 +23,9 @@
     }
   | {readonly kind: 'immutable'; readonly path: string}
   | {readonly kind: 'unsound'; readonly error: render.RenderError}
-  /** The store stayed silent: the edit may or may not be accepted. */
+  /** The store did not answer: the edit may have been accepted. */
   | {readonly kind: 'outcome-unknown'; readonly changeId: string};
 
-/** An accepted edit. */
 export interface AcceptedEdit {
   readonly changeId: string;
   readonly object: StoredObject;
@@ -35,7 +34,7 @@
 const MAX_WRITE_RETRIES = 20;
 const WRITE_RETRY_INTERVAL_MS = 500;
 
-/** Reads a document with its version; null where there is none. */
+/** Reads a document with its version; null if there is none. */
 export async function readChange(
   store: ObjectApi,
   key: string,
@@ -53,7 +52,6 @@
     : fail({kind: 'bad-answer', detail: parsed.issues[0].message});
 }
 
-/** One line of a document's history. */
 export interface HistoryEntry {
   readonly changeId: string;
   readonly author: string;
@@ -77,8 +75,8 @@
 }
 
 /**
- * Writes a document over the version it was made from (0: a new one).
- * Accepted means: the conditional update took effect.
+ * Writes a document over version `base`, which it was made from (0: a new one).
+ * Succeeds only if the conditional write took effect.
  */
 export async function applyDocument(
   store: ObjectApi,
@@ -87,9 +85,9 @@
   author: string,
 ): Promise<Result<AcceptedEdit, EditError>> {
   const key = types.keyOf(document);
-  const sound = await validateAgainstStore(store, document, base);
-  if (!sound.ok) {
-    return sound;
+  const valid = await validateAgainstStore(store, document, base);
+  if (!valid.ok) {
+    return valid;
   }
   const former = await readHistory(store, key);
   if (!former.ok) {
@@ -118,7 +116,7 @@
 }
 
 /**
- * A conflict with our own change id means that an earlier try of this very
+ * A conflict with our own change id means that an earlier attempt of the same
  * write took effect.
  */
 function resolveConflict(
@@ -141,9 +139,8 @@
 }
 
 /**
- * The answer was lost. A version other than the base settles it; while the
- * base is still there, the write may be on its way, so writing it again
- * under the same condition can't do harm.
+ * Repeats a write whose answer was lost. This is safe, since at most one attempt
+ * can meet the condition; a conflict shows whether an earlier one did.
  */
 async function retryWrite(
   store: ObjectApi,
@@ -165,7 +162,7 @@
   return fail({kind: 'outcome-unknown', changeId: value.changeId});
 }
 
-/** What the schema of one document alone can't see. */
+/** Checks a document against others in the store, and against its old version. */
 async function validateAgainstStore(
   store: ObjectApi,
   document: types.Document,
@@ -188,8 +185,8 @@
 }
 
 /**
- * A service's number of slots decides which sidecar owns a key. Another
- * number would give keys that have run to owners that don't know it.
+ * A service's number of slots decides which sidecar owns a key. Changing it
+ * would give keys to owners that don't know whether their requests have run.
  */
 function validateSlotCounts(
   old: types.Template,
--- a/src/configuration/follower.test.ts
+++ b/src/configuration/follower.test.ts
@@ -9,7 +9,7 @@
 import type {Method} from '../rpc/types';
 import {Follower} from './follower';
 
-describe('a follower on its own', () => {
+describe('configuration follower', () => {
   beforeEach(() => {
     jest.useFakeTimers();
     random.seed(1);
@@ -19,20 +19,20 @@
     jest.useRealTimers();
   });
 
-  it('makes few store calls, also while the store is empty', async () => {
+  it('makes few store calls even if the store is empty', async () => {
     const store = new MemoryStore();
     const rpc = new RpcClient();
     const identity = {id: 'entry-0', hall: 'hall-a', peers: []};
     const follower = new Follower(identity, store, SILENT_LOG, () => rpc);
     await follower.start();
     await jest.advanceTimersByTimeAsync(60_000);
-    // Three waits of 20 s, and the list of instances every 2 s or so.
+    // Three watches of 20 s, and the list of instances about every 2 s.
     expect(store.callCount).toBeLessThan(60);
     follower.close();
     rpc.close();
   });
 
-  it('asks a store that is down no more than about once a second', async () => {
+  it('calls a store that is down about once a second at most', async () => {
     const store = new MemoryStore();
     const rpc = new RpcClient();
     const identity = {id: 'entry-0', hall: 'hall-a', peers: []};
@@ -46,7 +46,7 @@
     rpc.close();
   });
 
-  it('leaves the store to the watchers once it knows of them', async () => {
+  it('makes no store calls once it knows the watchers', async () => {
     const store = new SlowStore();
     store.instanceList = makeMates(6);
     const rpc = new WaitingRpc();
@@ -80,7 +80,7 @@
   }));
 }
 
-/** Its list is nearly always on the way when something else happens. */
+/** Answers the list of instances so late that most calls overlap with others. */
 class SlowStore extends MemoryStore {
   override async instances() {
     const LIST_MS = 15_000;
@@ -89,7 +89,7 @@
   }
 }
 
-/** Watchers that have no news. */
+/** Watchers without changes. */
 class WaitingRpc extends RpcClient {
   override async call<P, R>(_address: string, method: Method<P, R>) {
     await new Promise(resolve => setTimeout(resolve, 20_000));
--- a/src/configuration/follower.ts
+++ b/src/configuration/follower.ts
@@ -1,11 +1,10 @@
 /**
- * Keeps a process's copy of the configuration and of the list of instances.
+ * Keeps a process's replica of the configuration and of the list of instances.
  *
- * A few processes of each hall watch the store; the others wait at one of
- * these, so the store's calls grow with the halls and not with the fleet.
- * Besides, every call between processes carries a stamp, and whoever is
- * behind fetches from whoever is ahead: changes spread also while the store
- * is down.
+ * A few processes of each hall watch the store and the others long-poll them, so
+ * the store's calls grow with the halls and not with the fleet. Every call
+ * between processes also carries a stamp, and a process that is behind fetches
+ * from the other: changes spread also while the store is down.
  */
 import {createHash} from 'node:crypto';
 import {
@@ -25,11 +24,10 @@
 import type {RpcClient} from '../rpc/client';
 import type {RpcServer} from '../rpc/server';
 import type {StampExchange} from '../rpc/types';
-import * as app from './rpc-methods';
+import * as methods from './rpc-methods';
 import * as replica from './replica';
 import {CONFIGURATION_PREFIX} from './types';
 
-/** Processes of a hall that watch the store for the others. */
 export const WATCHERS_PER_HALL = 2;
 const WATCH_WAIT_MS = 20_000;
 const INSTANCE_POLL_INTERVAL_MS = 2_000;
@@ -39,11 +37,11 @@
 const FETCH_TIMEOUT_MS = 2_000;
 const WAIT_GRACE_MS = 3_000;
 
-/** Who this process is, towards the other followers. */
+/** How other followers know this process, and which it knows from the start. */
 export interface FollowerIdentity {
   readonly id: string;
   readonly hall: string;
-  /** Peers known from the settings, asked while the store is down. */
+  /** Addresses from the settings, asked while the store is down. */
   readonly peers: readonly string[];
 }
 
@@ -61,7 +59,7 @@
   private readonly closing = new AbortController();
   private readonly closed = new Subject<void>();
   private readonly fetching = new Map<string, Promise<void>>();
-  /** Odd while this process asks the store for the list of instances. */
+  /** Odd while this process polls the store for the list of instances. */
   private instancePollRound = 0;
   private instancePollTimer: NodeJS.Timeout | undefined;
   private gossipTimer: NodeJS.Timeout | undefined;
@@ -90,7 +88,7 @@
     return this.instanceList.pipe(map(list => list.instances));
   }
 
-  /** Starts following, once; resolves when the copy is filled. */
+  /** Starts following, once; resolves when the replica is filled or closed. */
   start(): Promise<void> {
     this.started ??= this.begin();
     return this.started;
@@ -108,7 +106,7 @@
     await this.fetchFromSeveralPeers();
   }
 
-  /** Lets calls between processes carry and compare stamps. */
+  /** Makes calls between processes carry and compare stamps. */
   get stampExchange(): StampExchange {
     return {
       mine: () => replica.formatStamp(this.replica.stamp),
@@ -116,7 +114,7 @@
     };
   }
 
-  /** Fetches from a peer where its stamp shows more than this copy has. */
+  /** Fetches from a peer if its stamp shows that this replica is behind. */
   async catchUp(stampText: string, address: string): Promise<void> {
     const theirs = replica.parseStamp(stampText);
     if (
@@ -132,17 +130,16 @@
     this.fetching.delete(address);
   }
 
-  /** Binds the RPC face. */
   registerHandlers(server: RpcServer): void {
-    server.handle(app.since, params => this.replica.since(params.version));
-    server.handle(app.hello, () => ({}));
-    server.handle(app.push, params => {
+    server.handle(methods.since, params => this.replica.since(params.version));
+    server.handle(methods.hello, () => ({}));
+    server.handle(methods.push, params => {
       const before = replica.formatStamp(this.replica.stamp);
       this.replica.mergePushed(params.item);
       this.reportChange(before, 'operator');
       return {stamp: replica.formatStamp(this.replica.stamp)};
     });
-    server.handle(app.wait, params => this.handleWait(params));
+    server.handle(methods.wait, params => this.handleWait(params));
   }
 
   close(): void {
@@ -159,7 +156,7 @@
     const version = this.replica.stamp.complete;
     const delta = await this.rpcClient().call(
       address,
-      app.since,
+      methods.since,
       {version},
       FETCH_TIMEOUT_MS,
     );
@@ -185,39 +182,40 @@
   }
 
   /**
-   * News that did not come by the usual way may have reached nobody else:
-   * the hall's watchers are told, and by these the other halls' watchers.
+   * Passes on a change that came neither from the store nor from a watcher and
+   * may have reached no other process: to the watchers of this hall, or from one
+   * of these to the watchers of all halls.
    */
   private notifyWatchers(source: string): void {
     const own = this.watchersOf(this.identity.hall);
-    const isWatcher = own.some(mate => mate.id === this.identity.id);
+    const isWatcher = own.some(watcher => watcher.id === this.identity.id);
     const halls = new Set(this.instances.map(instance => instance.hall));
-    const told = isWatcher
+    const notified = isWatcher
       ? [...halls].flatMap(hall => this.watchersOf(hall))
       : own;
-    for (const mate of told) {
-      if (mate.id !== this.identity.id && mate.address !== source) {
-        void this.rpcClient().call(mate.address, app.hello, {});
+    for (const watcher of notified) {
+      if (watcher.id !== this.identity.id && watcher.address !== source) {
+        void this.rpcClient().call(watcher.address, methods.hello, {});
       }
     }
   }
 
   /** The processes of a hall that watch the store for it. */
   private watchersOf(hall: string): Instance[] {
-    const mates = this.instances.filter(
+    const live = this.instances.filter(
       instance => instance.hall === hall && instance.state === 'live',
     );
-    return rendezvous.topByKey(hall, mates, m => m.id, WATCHERS_PER_HALL);
+    return rendezvous.topByKey(hall, live, one => one.id, WATCHERS_PER_HALL);
   }
 
-  /** Slow exchange with anybody: what every other way missed. */
+  /** Exchanges stamps with a random process, to find what other ways missed. */
   private async gossip(): Promise<void> {
     const others = this.instances.filter(
       i => i.state === 'live' && i.id !== this.identity.id,
     );
     if (others.length > 0) {
       const {address} = random.pick(others);
-      await this.rpcClient().call(address, app.hello, {});
+      await this.rpcClient().call(address, methods.hello, {});
     }
     if (!this.closing.signal.aborted) {
       this.gossipTimer = setTimeout(
@@ -233,16 +231,16 @@
     waitMs: number;
   }) {
     const theirs = replica.parseStamp(params.stamp);
-    const isNews = () =>
+    const hasChanges = () =>
       theirs === undefined ||
       replica.isBehind(theirs, this.replica.stamp) ||
       this.instanceList.value.digest !== params.instancesDigest;
-    if (!isNews()) {
-      const news = merge(this.replica.changes, this.instanceList).pipe(
-        filter(isNews),
+    if (!hasChanges()) {
+      const changes = merge(this.replica.changes, this.instanceList).pipe(
+        filter(hasChanges),
         take(1),
       );
-      await firstValueFrom(race(news, timer(params.waitMs), this.closed), {
+      await firstValueFrom(race(changes, timer(params.waitMs), this.closed), {
         defaultValue: undefined,
       });
     }
@@ -275,8 +273,8 @@
   private chooseUpdateSource(failures: number): string | undefined {
     const watchers = this.watchersOf(this.identity.hall);
     const isWatcher = watchers.some(m => m.id === this.identity.id);
-    // A process that reaches no watcher goes to the store: a hall whose
-    // watchers died at once must not wait for the lagging list.
+    // A process that reaches no watcher uses the store: if all watchers of a
+    // hall fail at once, the list of instances names them for a while.
     if (isWatcher || watchers.length === 0 || failures >= watchers.length) {
       this.setUpdateSource('store');
       return undefined;
@@ -299,7 +297,7 @@
     clearTimeout(this.instancePollTimer);
     const answer = await this.rpcClient().call(
       address,
-      app.wait,
+      methods.wait,
       {
         stamp: replica.formatStamp(this.replica.stamp),
         instancesDigest: this.instanceList.value.digest,
@@ -372,8 +370,8 @@
 
   private async pollInstances(round: number): Promise<void> {
     const answer = await this.store.instances();
-    // Another process may have become the watcher meanwhile, or this one
-    // may have begun another round.
+    // This process may have stopped watching meanwhile, or have started
+    // another round.
     if (this.closing.signal.aborted || round !== this.instancePollRound) {
       return;
     }
@@ -396,15 +394,15 @@
     }
   }
 
-  /** The store's answer may come from a replica that lags behind. */
+  /** Fetches changes that a lagging replica of the store did not show. */
   private async fetchFromSeveralPeers(): Promise<void> {
-    const START_PEERS = 3;
-    for (let asked = 0; asked < START_PEERS; asked += 1) {
+    const FETCHES = 3;
+    for (let done = 0; done < FETCHES; done += 1) {
       await this.fetchFromRandomPeer();
     }
   }
 
-  /** While the store is down, peers are the only source of changes. */
+  /** Finds changes at the start and while the store or the watcher fails. */
   private async fetchFromRandomPeer(): Promise<void> {
     const known = this.instances
       .filter(i => i.state === 'live' && i.id !== this.identity.id)
--- a/src/configuration/parse.test.ts
+++ b/src/configuration/parse.test.ts
@@ -7,12 +7,12 @@
 const EXAMPLES = path.join(__dirname, '..', '..', 'examples');
 
 describe('configuration files', () => {
-  it('carry the demo site in the binary as it stands in examples/', () => {
+  it('contain the built-in demo site unchanged', () => {
     const file = path.join(EXAMPLES, 'demo.yaml');
     expect(DEMO_DOCUMENTS).toBe(fs.readFileSync(file, 'utf8'));
   });
 
-  it('are sound as shipped', () => {
+  it('are valid as shipped', () => {
     for (const name of fs.readdirSync(EXAMPLES)) {
       const text = fs.readFileSync(path.join(EXAMPLES, name), 'utf8');
       const parsed = parse.parseFile(text);
@@ -22,7 +22,7 @@
     }
   });
 
-  it('name the line and column of a fault', () => {
+  it('give the line and the field of an error', () => {
     const text = DEMO_DOCUMENTS.replace('timeoutMs: 5000', 'timeoutMs: 5');
     const parsed = parse.parseFile(text);
     expect(parsed.ok ? [] : parsed.error).toMatchObject([
@@ -32,7 +32,7 @@
     expect(text.split('\n')[found - 1]).toContain('timeoutMs: 5');
   });
 
-  it('never throw, whatever the text', () => {
+  it('never make the parser throw', () => {
     fc.assert(
       fc.property(fc.string(), text => {
         parse.parseFile(text);
--- a/src/configuration/parse.ts
+++ b/src/configuration/parse.ts
@@ -1,4 +1,4 @@
-/** Reading configuration files: YAML, checked, with exact positions. */
+/** Parses and validates YAML configuration files; errors name line and column. */
 import * as v from 'valibot';
 import * as yaml from 'yaml';
 import {Result, fail, ok} from '../result';
@@ -7,7 +7,7 @@
 
 const MAX_ALIASES = 100;
 
-/** Where and why a file is refused. Line and column start at 1. */
+/** Where and why a file is invalid. Line and column start at 1. */
 export interface FileError {
   readonly kind: 'bad-file';
   readonly line: number;
@@ -17,7 +17,7 @@
   readonly detail: string;
 }
 
-/** Parses all documents of a YAML text. Fails with every fault found. */
+/** Parses all documents of a YAML text. Fails with every error found. */
 export function parseFile(text: string): Result<types.Document[], FileError[]> {
   const lines = new yaml.LineCounter();
   const parsed = yaml.parseAllDocuments(text, {lineCounter: lines});
@@ -49,7 +49,7 @@
   return errors.length > 0 ? fail(errors) : ok(documents);
 }
 
-/** Accounts of a file are rendered with the templates of the same file. */
+/** Errors of the accounts whose template is in the same file. */
 export function validateAccounts(
   documents: readonly types.Document[],
 ): FileError[] {
@@ -72,12 +72,12 @@
   });
 }
 
-/** Prints a document as the YAML that an operator edits. */
+/** The YAML text that an operator edits. */
 export function formatDocument(document: types.Document): string {
   return yaml.stringify(document);
 }
 
-/** Aliases are resolved only here, and may lead nowhere or explode. */
+/** Fails if an alias has no anchor or if aliases expand too far. */
 function resolveAliases(source: yaml.Document): Result<unknown, FileError> {
   try {
     return ok(source.toJS({maxAliasCount: MAX_ALIASES}));
@@ -112,7 +112,7 @@
   };
 }
 
-/** Offset of the field, or of the nearest one around it that is there. */
+/** Offset of the field, or of the nearest enclosing one that exists. */
 function findOffset(
   source: yaml.Document,
   keys: readonly (string | number)[],
--- a/src/configuration/render.ts
+++ b/src/configuration/render.ts
@@ -1,4 +1,4 @@
-/** Template times parameters: the same result in every process. */
+/** Applies the parameters of client accounts to their templates. */
 import {Result, fail, ok} from '../result';
 import * as types from './types';
 
@@ -13,7 +13,10 @@
       readonly max: number;
     };
 
-/** Applies an account's parameters to its template. */
+/**
+ * Parameters that the account doesn't set get the template's default. Fails
+ * with `unknown-template` or `parameter-out-of-bounds`.
+ */
 export function renderAccount(
   account: types.Account,
   template: types.Template | undefined,
--- a/src/configuration/replica.test.ts
+++ b/src/configuration/replica.test.ts
@@ -1,6 +1,6 @@
 /**
- * Copies of the configuration under random exchange: listings that are old,
- * deltas from peers, changes pushed by operators, in any order.
+ * Merges old listings, deltas from peers and pushed changes in random order, and
+ * checks that replicas of the configuration never revert and do converge.
  */
 import * as fc from 'fast-check';
 import type {StoredObject} from '../platform/types';
@@ -25,7 +25,7 @@
   return {changeId: 'c', author: 'a', at: 't', document, former: []};
 }
 
-/** What a list of the store shows as of a version. */
+/** The store's listing as of a version. */
 function listing(version: number) {
   const items = new Map<string, StoredObject>();
   HISTORY.filter(o => o.version <= version).forEach(o => items.set(o.key, o));
@@ -72,8 +72,8 @@
   return new Map(copy.since(0).items.map(item => [item.key, item.version]));
 }
 
-describe('copies of the configuration', () => {
-  it('never revert, whatever comes in whatever order', () => {
+describe('replicas of the configuration', () => {
+  it('never revert, in any order of merges', () => {
     fc.assert(
       fc.property(fc.array(event, {maxLength: 30}), events => {
         const copies = Array.from({length: COPIES}, () => new Replica());
@@ -94,7 +94,7 @@
     );
   });
 
-  it('are complete up to the version that they say', () => {
+  it('are complete up to the version in their stamp', () => {
     fc.assert(
       fc.property(fc.array(event, {maxLength: 30}), events => {
         const copies = Array.from({length: COPIES}, () => new Replica());
@@ -110,7 +110,7 @@
     );
   });
 
-  it('become equal once each has heard of the others', () => {
+  it('converge once each has fetched from the others', () => {
     fc.assert(
       fc.property(fc.array(event, {maxLength: 30}), events => {
         const copies = Array.from({length: COPIES}, () => new Replica());
@@ -137,7 +137,7 @@
     );
   });
 
-  it('hear of each other also where as many changes were pushed', () => {
+  it('detect a difference between equally many pushed changes', () => {
     const [a, b] = [new Replica(), new Replica()];
     [a, b].forEach(copy => copy.mergeListing(listing(2)));
     [3, 6, 7].forEach(version => a.mergePushed(HISTORY[version - 1]!));
--- a/src/configuration/replica.ts
+++ b/src/configuration/replica.ts
@@ -1,10 +1,10 @@
 /**
- * A process's copy of the configuration.
+ * A process's replica of the configuration.
  *
- * Every object carries the store's version, and only a greater version
- * replaces it, so copies can be merged in any order and never revert.
- * `complete` is the version up to which nothing is missing; a change that an
- * operator pushed straight to this process may lie above it as an extra.
+ * Every object carries the store's version and is replaced only by a greater
+ * one, so replicas can be merged in any order and never revert. `complete` is
+ * the version up to which nothing is missing; a change that was pushed to this
+ * process directly may lie above it as an extra.
  */
 import * as murmurhash from 'murmurhash';
 import {BehaviorSubject, Observable} from 'rxjs';
@@ -13,7 +13,7 @@
 import * as render from './render';
 import * as types from './types';
 
-/** The three numbers by which two copies are compared. */
+/** Summary of a replica's versions; two replicas are compared by it. */
 export interface Stamp {
   readonly complete: number;
   readonly highest: number;
@@ -21,13 +21,13 @@
   readonly extras: number;
 }
 
-/** What a copy gives to one that is behind it. */
+/** The objects that a replica sends to one that is behind it. */
 export interface Delta {
   readonly complete: number;
   readonly items: StoredObject[];
 }
 
-/** Reports an object that does not parse; the former one stays in force. */
+/** Called for an object that is invalid; the former one stays in use. */
 export type OnRejected = (key: string, detail: string) => void;
 
 export class Replica {
@@ -45,7 +45,7 @@
 
   constructor(private readonly onRejected: OnRejected = () => undefined) {}
 
-  /** Emits whenever the copy has changed. */
+  /** Emits the current stamp, then each new one. */
   get changes(): Observable<Stamp> {
     return this.stampSubject.asObservable();
   }
@@ -54,7 +54,7 @@
     return this.stampSubject.value;
   }
 
-  /** False until a listing or a peer's whole copy has been merged. */
+  /** False until a listing or a delta of a filled replica has been merged. */
   get ready(): boolean {
     return this.isFilled;
   }
@@ -66,19 +66,19 @@
     this.merge(listing.items, newest);
   }
 
-  /** Merges what a peer holds beyond this copy's `complete`. */
+  /** Merges what a peer holds beyond this replica's `complete`. */
   mergeDelta(delta: Delta): void {
-    // A peer that holds nothing yet is no proof that there is nothing.
+    // A peer that holds nothing yet doesn't prove that the store is empty.
     this.isFilled ||= delta.complete > 0;
     this.merge(delta.items, delta.complete);
   }
 
-  /** Merges one accepted change that may lie ahead of this copy. */
+  /** Merges one accepted change, which may be newer than this replica. */
   mergePushed(item: StoredObject): void {
     this.merge([item], this.stamp.complete);
   }
 
-  /** Everything newer than a version. */
+  /** Objects newer than a version. */
   since(version: number): Delta {
     const items = [...this.objects.values()].filter(
       item => item.version > version,
@@ -90,7 +90,6 @@
     return this.templates.get(name);
   }
 
-  /** All templates in force. */
   allTemplates(): readonly types.Template[] {
     return [...this.templates.values()];
   }
@@ -109,7 +108,7 @@
     return id === undefined ? undefined : this.rendered.get(id);
   }
 
-  /** The plain service of any template, by name. */
+  /** The service of this name in the first template that has one. */
   service(name: string): types.Service | undefined {
     for (const template of this.templates.values()) {
       const service = template.services[name];
@@ -197,17 +196,17 @@
 
 const DIGEST_RANGE = 2 ** 31 - 1;
 
-/** Sums of versions would often be equal; sums of these are not. */
+/** Hashed, since different sets of versions often have equal sums. */
 function hashVersion(version: number): number {
   return murmurhash.v3(String(version)) % DIGEST_RANGE;
 }
 
-/** `complete.highest.extras`, as it travels in a header. */
+/** `complete.highest.extras`, as sent in a header. */
 export function formatStamp(stamp: Stamp): string {
   return `${stamp.complete}.${stamp.highest}.${stamp.extras}`;
 }
 
-/** Undefined where the text is no stamp. */
+/** Returns undefined if the text is no stamp. */
 export function parseStamp(text: string): Stamp | undefined {
   if (!/^\d{1,15}\.\d{1,15}\.\d{1,15}$/.test(text)) {
     return undefined;
@@ -216,7 +215,7 @@
   return {complete: complete!, highest: highest!, extras: extras!};
 }
 
-/** Whether a copy with stamp `mine` may lack something that `theirs` has. */
+/** True if a replica with stamp `mine` may lack something that `theirs` has. */
 export function isBehind(mine: Stamp, theirs: Stamp): boolean {
   if (theirs.complete > mine.complete || theirs.highest > mine.highest) {
     return true;
--- a/src/configuration/rpc-methods.ts
+++ b/src/configuration/rpc-methods.ts
@@ -1,4 +1,4 @@
-/** RPC face of the configuration: copies that help each other catch up. */
+/** RPC methods by which replicas of the configuration catch up. */
 import * as v from 'valibot';
 import {instanceSchema, objectSchema} from '../platform/types';
 import * as rpc from '../rpc/types';
@@ -10,14 +10,14 @@
   items: v.array(objectSchema),
 });
 
-/** Everything a copy holds beyond a version. */
+/** Returns the objects that a replica holds beyond a version. */
 export const since = rpc.method(
   'configuration.since',
   v.object({version: versionSchema}),
   deltaSchema,
 );
 
-/** Hands over one change that the store has accepted. */
+/** Sends one change that the store has accepted; returns the new stamp. */
 export const push = rpc.method(
   'configuration.push',
   v.object({item: objectSchema}),
@@ -25,8 +25,8 @@
 );
 
 /**
- * Waits at a hall's watcher until its configuration or its list of
- * instances differs from what the caller has.
+ * Long poll of a hall's watcher: returns when its configuration or its list of
+ * instances differs from the caller's, or after `waitMs`.
  */
 export const wait = rpc.method(
   'configuration.wait',
@@ -43,8 +43,8 @@
 );
 
 /**
- * Says nothing but the stamp that every call carries: whoever is behind then
- * fetches from the other.
+ * Exchanges only the stamps that every call carries; a process that is behind
+ * then fetches from the other.
  */
 export const hello = rpc.method(
   'configuration.hello',
--- a/src/configuration/types.ts
+++ b/src/configuration/types.ts
@@ -1,4 +1,4 @@
-/** Templates, client accounts, and what the two give when rendered. */
+/** Templates, client accounts, and accounts rendered with their templates. */
 import * as v from 'valibot';
 
 /** Key prefix of all configuration objects in the platform's store. */
@@ -60,7 +60,7 @@
   timeoutMs: parameterSchema,
 });
 
-/** A class of requests: a lower priority number is served first. */
+/** A class of requests; lower priority numbers are served first. */
 const classSchema = v.strictObject({
   priority: count(0, 9),
   timeoutMs: milliseconds(10, 600_000),
@@ -71,7 +71,7 @@
   path: v.pipe(v.string(), v.startsWith('/')),
 });
 
-/** A plain service; calls not listed as repeatable need a key. */
+/** A service other than a model; calls not listed as repeatable need a key. */
 export const serviceSchema = v.strictObject({
   repeatable: v.array(repeatableSchema),
   timeoutMs: milliseconds(10, 600_000),
@@ -155,10 +155,9 @@
 ]);
 export type Document = v.InferOutput<typeof documentSchema>;
 
-/** Former changes that a document remembers. */
 export const MAX_HISTORY_CHANGES = 20;
 
-/** What the store holds: the document and the change that wrote it. */
+/** An object in the store: a document and the change that wrote it. */
 export const changeSchema = v.object({
   changeId: v.string(),
   author: v.string(),
@@ -182,7 +181,7 @@
   readonly parameters: Readonly<Record<ParameterName, number>>;
 }
 
-/** Where a document lies in the store. */
+/** A document's key in the store. */
 export function keyOf(document: Document): string {
   return document.kind === 'template'
     ? templateKey(document.name)
--- a/src/platform/client.ts
+++ b/src/platform/client.ts
@@ -9,13 +9,13 @@
 import {Result, fail, ok} from '../result';
 import * as types from './types';
 
-/** The store's own cap on a value. */
+/** The store's limit on a value. */
 export const MAX_VALUE_BYTES = 1024 * 1024;
 const MAX_LISTING_BYTES = 64 * 1024 * 1024;
 const CALL_TIMEOUT_MS = 3_000;
 const WATCH_GRACE_MS = 3_000;
 
-/** The object API as the other aggregates see it. */
+/** The object API that the rest of the system uses. */
 export abstract class ObjectApi {
   /** Null where the object does not exist. */
   abstract get(
@@ -24,7 +24,7 @@
 
   /**
    * Writes if the object's version is still `expected` (0: it must not
-   * exist). Answers the new version. Fails with `conflict`,
+   * exist). Returns the new version. Fails with `conflict`,
    * `unavailable` (the write may have taken effect) or `value-too-large`.
    */
   abstract put(
@@ -37,7 +37,10 @@
     prefix: string,
   ): Promise<Result<types.Listing, types.PlatformError>>;
 
-  /** Waits for changes after a revision. Fails with `watch-too-old`. */
+  /**
+   * Waits up to `waitMs` for changes after a revision. Fails with
+   * `watch-too-old` if the store no longer holds the history since then.
+   */
   abstract watch(
     prefix: string,
     after: number,
@@ -45,7 +48,7 @@
     signal?: AbortSignal,
   ): Promise<Result<types.Listing, types.PlatformError>>;
 
-  /** The lagging list of instances. */
+  /** The platform's list of instances, which lags behind. */
   abstract instances(): Promise<
     Result<readonly types.Instance[], types.PlatformError>
   >;
--- a/src/platform/memory-store.ts
+++ b/src/platform/memory-store.ts
@@ -1,6 +1,6 @@
 /**
- * The object API in memory: for tests on the paused clock and for benches.
- * An outage cuts calls; a lost answer takes effect all the same.
+ * An in-memory object API for tests with fake timers. During an outage calls
+ * fail without effect; a write whose response is dropped still takes effect.
  */
 import {Result, fail, ok} from '../result';
 import {ObjectApi} from './client';
@@ -70,7 +70,7 @@
     return this.isDown ? unavailable(false) : ok(this.instanceList);
   }
 
-  /** Reads past any outage. */
+  /** Reads an object even during an outage. */
   peek(key: string): StoredObject | undefined {
     return this.objects.get(key);
   }
--- a/src/platform/types.ts
+++ b/src/platform/types.ts
@@ -1,4 +1,4 @@
-/** What the platform's object API holds and answers. */
+/** Objects and responses of the platform's object API. */
 import * as v from 'valibot';
 import {addressSchema} from '../http/address';
 
@@ -19,12 +19,12 @@
 export const listingSchema = v.object({
   revision: v.pipe(v.number(), v.integer(), v.minValue(0)),
   items: v.array(objectSchema),
-  /** Keys that are gone since the revision that a watch started from. */
+  /** Keys deleted since the revision that a watch started from. */
   removed: v.optional(v.array(v.string()), []),
 });
 export type Listing = v.InferOutput<typeof listingSchema>;
 
-/** An instance on the platform's lagging list. */
+/** An instance on the platform's list, which lags behind. */
 export const instanceSchema = v.object({
   id: v.pipe(v.string(), v.nonEmpty()),
   hall: v.pipe(v.string(), v.nonEmpty()),
@@ -45,11 +45,11 @@
 
 export const putAnswerSchema = v.object({version: v.number()});
 
-/** Why a call to the platform gave nothing. */
+/** Why a call to the platform failed. */
 export type PlatformError =
   /** The store did not answer; a write may have taken effect. */
   | {readonly kind: 'unavailable'; readonly maybeApplied: boolean}
-  /** The object changed since `expected`; `current` is null if absent. */
+  /** The object isn't at the expected version; `current` is null if absent. */
   | {readonly kind: 'conflict'; readonly current: StoredObject | null}
   | {readonly kind: 'watch-too-old'}
   | {readonly kind: 'value-too-large'; readonly limitBytes: number}
--- a/src/platform/watch-loop.test.ts
+++ b/src/platform/watch-loop.test.ts
@@ -3,7 +3,7 @@
 
 const WAIT_MS = 400;
 
-describe('following a kind of objects', () => {
+describe('watch loop', () => {
   let store: MemoryStore;
   let loop: WatchLoop;
   let events: WatchEvent[];
@@ -25,21 +25,21 @@
     return events.map(event => event.kind);
   }
 
-  it('lists first, and proves no more than when it asked', async () => {
+  it('lists first and confirms the time of the request', async () => {
     const begunAt = performance.now();
     await sleep(20);
     expect(kinds()).toEqual(['listed', 'contact']);
     expect(lastContact(events)).toBeLessThanOrEqual(begunAt + 5);
   });
 
-  it('proves the whole wait of a watch that nothing came of', async () => {
+  it('confirms the whole wait of a watch without changes', async () => {
     const begunAt = performance.now();
     await sleep(WAIT_MS + 100);
     expect(lastContact(events)).toBeGreaterThanOrEqual(begunAt + WAIT_MS - 5);
     expect(lastContact(events)).toBeLessThanOrEqual(performance.now());
   });
 
-  it('proves only the time of asking where a watch brought news', async () => {
+  it('confirms only the time of the request if a watch had changes', async () => {
     await sleep(50);
     const askedBefore = performance.now();
     await store.put('things/a', 1, 0);
@@ -48,7 +48,7 @@
     expect(lastContact(events)).toBeLessThanOrEqual(askedBefore);
   });
 
-  it('asks once for changes in quick succession', async () => {
+  it('gets changes in quick succession with one call', async () => {
     await sleep(20);
     for (let at = 0; at < 8; at += 1) {
       await store.put(`things/${at}`, at, 0);
@@ -61,14 +61,14 @@
     expect(told).toEqual([1, 7]);
   });
 
-  it('lists anew when it is told to', async () => {
+  it('lists again after a restart', async () => {
     await sleep(20);
     loop.restart();
     await sleep(20);
     expect(kinds()).toEqual(['listed', 'contact', 'listed', 'contact']);
   });
 
-  it('tells once that the store is lost', async () => {
+  it('reports an outage of the store once', async () => {
     store.isDown = true;
     loop.restart();
     await sleep(400);
--- a/src/platform/watch-loop.ts
+++ b/src/platform/watch-loop.ts
@@ -1,32 +1,29 @@
 /**
- * Follows all objects of one kind: lists them, then waits for changes. A
- * history that is gone is listed anew; an outage is waited out.
+ * Follows all objects of one kind: lists them, then watches for changes. Lists
+ * again after an outage or when the store no longer holds the history.
  */
 import {Subject} from 'rxjs';
 import type {ObjectApi} from './client';
 import type {Listing, PlatformError} from './types';
 
 /**
- * Pause after a change before the next watch, so that changes that come in
- * quick succession are told in one answer. Each call is paid for.
+ * Pause after a change before the next watch, so that changes in quick
+ * succession come in one answer. Each call is paid for.
  */
 export const BATCH_DELAY_MS = 200;
-/** First pause after a failed call, and the longest, in milliseconds. */
 const INITIAL_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 500;
 
-/** What the loop has learnt. */
 export type WatchEvent =
   /** All objects, whatever was known before. */
   | {readonly kind: 'listed'; readonly listing: Listing}
   | {readonly kind: 'changed'; readonly listing: Listing}
   /**
-   * The store has answered; all that was accepted until `since`, in
-   * milliseconds of the monotonic clock, is known. Comes after what the
-   * answer held.
+   * The store has answered: all changes up to `since`, in milliseconds of the
+   * monotonic clock, are known. Follows the answer's `listed` or `changed`.
    */
   | {readonly kind: 'contact'; readonly since: number}
-  /** First failure after an answer. */
+  /** First failure after an answer or the start. */
   | {readonly kind: 'lost'; readonly error: PlatformError};
 
 export class WatchLoop {
@@ -35,11 +32,11 @@
   private revision: number | undefined;
   private watch = new AbortController();
   private isUnavailable = false;
-  /** Of the watch under way. */
+  /** Wait of the current watch. */
   private currentWaitMs = 0;
   private backoffMs = INITIAL_BACKOFF_MS;
 
-  /** `waitMs`: how long the next watch waits for a change. */
+  /** `waitMs` gives the time that the next watch waits for a change. */
   constructor(
     private readonly store: ObjectApi,
     private readonly kind: string,
@@ -56,7 +53,7 @@
         return;
       }
       if (this.watch.signal.aborted) {
-        // Whatever it says, nobody waited for it to the end.
+        // `restart` was called meanwhile, so this answer doesn't count.
         this.revision = undefined;
       } else if (answer.ok) {
         const hasNews = this.applyListing(isFirst, answer.value, askedAt);
@@ -69,7 +66,7 @@
     }
   }
 
-  /** Lists anew at once: the watch under way may never be answered. */
+  /** Aborts the current watch, which may never be answered, and lists again. */
   restart(): void {
     this.watch.abort();
   }
@@ -94,7 +91,7 @@
         );
   }
 
-  /** True where the answer held something. */
+  /** Returns true if the answer held changes. */
   private applyListing(
     isFirst: boolean,
     listing: Listing,
@@ -108,14 +105,14 @@
       const kind = isFirst ? 'listed' : 'changed';
       this.events.next({kind, listing});
     }
-    // A watch that waited in vain was answered after its whole wait.
+    // A watch without changes was answered only at the end of its wait.
     const waitedMs = isFirst || hasNews ? 0 : this.currentWaitMs;
     const since = Math.min(askedAt + waitedMs, performance.now());
     this.events.next({kind: 'contact', since});
     return hasNews;
   }
 
-  /** After an outage everything is listed anew: watches may have gaps. */
+  /** Lists again after the pause, since a watch may have missed changes. */
   private async backOff(error: PlatformError): Promise<void> {
     this.revision = undefined;
     if (!this.isUnavailable) {
--- a/src/roles/sidecar.ts
+++ b/src/roles/sidecar.ts
@@ -21,7 +21,7 @@
 import {Metrics} from '../observability/metrics';
 import {HttpObjectApi} from '../platform/client';
 import {Admission} from '../requests/admission';
-import * as assistant from '../requests/chat-request';
+import * as chatRequest from '../requests/chat-request';
 import * as headers from '../requests/headers';
 import * as refusals from '../requests/refusals';
 import {SidecarChat} from '../requests/sidecar-chat';
@@ -128,7 +128,7 @@
   }
 
   /**
-   * Planned stop: takes no new work, hands its keys over, finishes what runs,
+   * Planned stop: takes no new work, hands its slots over, finishes what runs,
    * then closes.
    */
   async stop(): Promise<void> {
@@ -426,9 +426,9 @@
     res.setHeader(rpcTypes.STAMP_HEADER, this.follower.stampExchange.mine());
     const incoming = this.readIncoming(req, res);
     const url = new URL(req.url ?? '/', 'http://sidecar');
-    if (url.pathname.startsWith(assistant.STREAMS_PATH)) {
+    if (url.pathname.startsWith(chatRequest.STREAMS_PATH)) {
       await this.answerStream(incoming, url);
-    } else if (url.pathname === assistant.CHAT_PATH && this.probe) {
+    } else if (url.pathname === chatRequest.CHAT_PATH && this.probe) {
       await this.chat.run(incoming);
     } else {
       await this.answerService(incoming, req.url ?? '/');
@@ -439,7 +439,7 @@
     incoming: IncomingRequest,
     url: URL,
   ): Promise<void> {
-    const request = url.pathname.slice(assistant.STREAMS_PATH.length);
+    const request = url.pathname.slice(chatRequest.STREAMS_PATH.length);
     if (incoming.req.method === 'DELETE') {
       await this.chat.cancel(incoming, request);
       return;
