--- a/src/configuration/follower.test.ts
+++ b/src/configuration/follower.test.ts
@@ -48,7 +48,7 @@
 
   it('makes no store calls once it knows the watchers', async () => {
     const store = new SlowStore();
-    store.instanceList = makeMates(6);
+    store.instanceList = makeInstances(6);
     const rpc = new WaitingRpc();
     const last = rendezvous.rankByKey(
       'hall-a',
@@ -67,7 +67,7 @@
   });
 });
 
-function makeMates(count: number): Instance[] {
+function makeInstances(count: number): Instance[] {
   return Array.from({length: count}, (_, at) => ({
     id: `mate-${at}`,
     hall: 'hall-a',
--- a/src/configuration/replica.ts
+++ b/src/configuration/replica.ts
@@ -143,7 +143,10 @@
     if (parsed.success) {
       this.applyDocument(parsed.output.document);
     } else {
-      this.onRejected(item.key, parsed.issues[0]?.message ?? 'wrong shape');
+      this.onRejected(
+        item.key,
+        parsed.issues[0]?.message ?? 'does not match the schema',
+      );
     }
     return true;
   }
--- a/src/peers/kind-replica.ts
+++ b/src/peers/kind-replica.ts
@@ -54,7 +54,7 @@
 
   /** The update for a peer with this digest; undefined before any contact. */
   updateFor(
-    asked: KindDigest | undefined,
+    held: KindDigest | undefined,
     isSettling: boolean,
     now: number,
   ): KindUpdate | undefined {
@@ -63,7 +63,7 @@
       return undefined;
     }
     const ageMs = Math.max(now - this.confirmedAt, 0);
-    const isSame = asked?.digest === this.currentDigest.digest;
+    const isSame = held?.digest === this.currentDigest.digest;
     const items = isSame ? undefined : [...this.items.values()];
     return {kind, revision, ageMs, isSettling, items};
   }
--- a/src/peers/watcher-election.ts
+++ b/src/peers/watcher-election.ts
@@ -10,8 +10,8 @@
 /** Two of them may fail at once. */
 export const WATCHER_COUNT = 3;
 /**
- * Covers a watcher's watch, a poll and a lost answer; below the two seconds
- * after which an unknown key may be a new one.
+ * Covers a watcher's watch, a poll and a lost answer; below the age of 2 s from
+ * which an unknown API key may be a new one.
  */
 const MAX_UPDATE_AGE_MS = 1_900;
 /** Also gives a process that has just started time to discover its peers. */
--- a/src/platform/client.ts
+++ b/src/platform/client.ts
@@ -17,7 +17,7 @@
 
 /** The object API that the rest of the system uses. */
 export abstract class ObjectApi {
-  /** Null where the object does not exist. */
+  /** Returns null if the object does not exist. */
   abstract get(
     key: string,
   ): Promise<Result<types.StoredObject | null, types.PlatformError>>;
@@ -181,13 +181,16 @@
 ): Result<T, types.PlatformError> {
   const json = body.parseJson(answer.body.toString('utf8'));
   if (!json.ok) {
-    return fail({kind: 'bad-answer', detail: `status ${answer.status}`});
+    return fail({
+      kind: 'bad-answer',
+      detail: `response with status ${answer.status} is not JSON`,
+    });
   }
   const parsed = v.safeParse(schema, json.value);
   return parsed.success
     ? ok(parsed.output)
     : fail({
         kind: 'bad-answer',
-        detail: parsed.issues[0]?.message ?? 'wrong shape',
+        detail: parsed.issues[0]?.message ?? 'does not match the schema',
       });
 }
--- a/src/platform/watch-loop.test.ts
+++ b/src/platform/watch-loop.test.ts
@@ -55,10 +55,10 @@
       await sleep(10);
     }
     await sleep(250);
-    const told = events.flatMap(event =>
+    const counts = events.flatMap(event =>
       event.kind === 'changed' ? [event.listing.items.length] : [],
     );
-    expect(told).toEqual([1, 7]);
+    expect(counts).toEqual([1, 7]);
   });
 
   it('lists again after a restart', async () => {
--- a/src/roles/site-follower.ts
+++ b/src/roles/site-follower.ts
@@ -37,7 +37,7 @@
  * trusted only for a few seconds after one.
  */
 const CONFIGURATION_WAIT_MS = 1_800;
-/** Shorter still while other entries poll this one for updates. */
+/** Shorter while other entries rely on this one, which they poll for updates. */
 const SHARED_CONFIGURATION_WAIT_MS = 1_000;
 /** Long, since the watch of the configuration detects an unreachable store. */
 const TARGETS_WAIT_MS = 20_000;
@@ -447,7 +447,7 @@
     return isRolledBack;
   }
 
-  /** `unread`: names of the objects that name no target. */
+  /** `unread`: names of the objects that can't be parsed as targets. */
   private readTargets(items: readonly objects.StoredObject[]) {
     const {documents, log} = this.context;
     const found: Target[] = [];
--- a/src/suspension-detector.ts
+++ b/src/suspension-detector.ts
@@ -2,8 +2,8 @@
  * Detects that this instance was suspended. The monotonic clock stands still during a
  * suspension, so cached state would look fresh after it and a revoked API key would
  * still work. The wall clock and the uptime go on, but the wall clock may be set and
- * the uptime may come from another host: only time by which both have run ahead of the
- * monotonic clock counts.
+ * the uptime may be counted independently: only time by which both have run ahead of
+ * the monotonic clock counts as a suspension.
  */
 import * as os from 'node:os';
 import {Subject} from 'rxjs';
