--- a/src/roles/sidecar.ts
+++ b/src/roles/sidecar.ts
@@ -199,12 +199,12 @@
 
   private openRank(probe: EngineProbe): void {
     const {id, group, rank, target} = this.cfg;
-    const orders = new HttpEngineClient(this.agent, target, () =>
+    const engine = new HttpEngineClient(this.agent, target, () =>
       probe.fetchRank(),
     );
     const service = new RankService(
       {id, group, rank, model: this.serves.name, incarnation: randomUUID()},
-      orders,
+      engine,
       this.follower,
       this.store,
       this.rpc,
