--- a/src/roles/sidecar.ts
+++ b/src/roles/sidecar.ts
@@ -1,4 +1,4 @@
-/** The sidecar: wires the aggregates of the process beside one target. */
+/** The sidecar: the process beside one target. */
 import {randomUUID} from 'node:crypto';
 import * as fs from 'node:fs';
 import type * as http from 'node:http';
@@ -21,7 +21,7 @@
 import {Metrics} from '../observability/metrics';
 import {HttpObjectApi} from '../platform/client';
 import {Admission} from '../requests/admission';
-import * as assistant from '../requests/chat-request';
+import * as chatRequest from '../requests/chat-request';
 import * as headers from '../requests/headers';
 import * as refusals from '../requests/refusals';
 import {SidecarChat} from '../requests/sidecar-chat';
@@ -56,7 +56,6 @@
   maxLeadMs: 5_000,
 };
 
-/** A running sidecar. */
 export class Sidecar {
   private readonly store: HttpObjectApi;
   private readonly rpc: RpcClient;
@@ -103,14 +102,14 @@
     });
   }
 
-  /** Where this sidecar listens. */
+  /** Address at which this sidecar listens. */
   get address(): string {
     return this.listener?.address ?? this.cfg.listen;
   }
 
   /**
-   * Listens first: to hold the address proves that the process before this
-   * one has ended. Then it catches up and becomes ready.
+   * Listens first: holding the address proves that the previous process has
+   * ended. Then it catches up on the configuration and becomes ready.
    */
   async open(): Promise<string> {
     this.listener = await httpServer.listen(
@@ -128,7 +127,10 @@
     return this.address;
   }
 
-  /** Planned stop: no new work, hand over, finish what runs, end. */
+  /**
+   * Planned stop: takes no new work, hands its slots over, finishes what runs,
+   * then closes.
+   */
   async stop(): Promise<void> {
     this.log.event('processStopping', {inFlight: this.openCount});
     this.leave('stop');
@@ -138,7 +140,7 @@
     await this.close();
   }
 
-  /** Ends at once. */
+  /** Closes at once, also with requests in flight. */
   async close(): Promise<void> {
     this.ready = false;
     clearTimeout(this.evictionTimer);
@@ -197,12 +199,12 @@
 
   private openRank(probe: EngineProbe): void {
     const {id, group, rank, target} = this.cfg;
-    const orders = new HttpEngineClient(this.agent, target, () =>
+    const engine = new HttpEngineClient(this.agent, target, () =>
       probe.fetchRank(),
     );
     const service = new RankService(
       {id, group, rank, model: this.serves.name, incarnation: randomUUID()},
-      orders,
+      engine,
       this.follower,
       this.store,
       this.rpc,
@@ -227,7 +229,7 @@
     const service = this.serves.name;
     const settings = () =>
       this.follower.replica.service(service) ?? DEFAULT_SERVICE;
-    const keeper = new SlotManager(
+    const slotManager = new SlotManager(
       () => ({service, ...settings()}),
       this.identity(settings().maxLeadMs),
       this.clock,
@@ -236,17 +238,17 @@
       () => this.liveTargetIds(),
     );
     const runs = new KeyedRuns(
-      keeper,
+      slotManager,
       this.clock,
       () => settings().slots,
       () => settings().retentionMs,
       this.cfg.maxAnswerBytes,
     );
-    this.slotManager = keeper;
+    this.slotManager = slotManager;
     this.runs = runs;
     this.service = new SidecarService(this.context, runs, settings);
-    this.registerClaimHandlers(service, keeper, runs);
-    keeper.triggerUpkeep();
+    this.registerClaimHandlers(service, slotManager, runs);
+    slotManager.triggerUpkeep();
     this.evictionTimer = setInterval(
       () => runs.evictExpired(),
       EVICTION_INTERVAL_MS,
@@ -255,17 +257,19 @@
 
   private registerClaimHandlers(
     service: string,
-    keeper: SlotManager,
+    slotManager: SlotManager,
     runs: KeyedRuns,
   ): void {
     handover.serveHandover(
       this.rpcServer,
       service,
-      keeper,
+      slotManager,
       runs,
       () => !this.leaving,
     );
-    this.rpcServer.handle(claimsApp.table, () => ({cells: keeper.listCells()}));
+    this.rpcServer.handle(claimsApp.table, () => ({
+      cells: slotManager.listCells(),
+    }));
     this.rpcServer.handle(claimsApp.burn, params => {
       const key = keys.parseKey(params.key);
       const isOwn = params.service === service && key !== undefined;
@@ -285,11 +289,11 @@
   }
 
   private liveTargetIds(): string[] {
-    const mates = this.follower.instances.filter(
+    const live = this.follower.instances.filter(
       instance =>
         instance.serves === this.cfg.serves && instance.state === 'live',
     );
-    const ids = new Set(mates.map(instance => instance.id));
+    const ids = new Set(live.map(instance => instance.id));
     if (this.leaving) {
       ids.delete(this.cfg.id);
     } else {
@@ -319,29 +323,29 @@
   }
 
   private async handOver(): Promise<void> {
-    const {slotManager: keeper, runs} = this;
-    if (keeper === undefined || runs === undefined) {
+    const {slotManager, runs} = this;
+    if (slotManager === undefined || runs === undefined) {
       return;
     }
     const service = this.serves.name;
     for (let round = 0; round < MAX_HANDOVER_ROUNDS; round += 1) {
       const slots = this.follower.replica.service(service)?.slots ?? 1;
-      const mates = this.follower.instances.filter(
+      const successors = this.follower.instances.filter(
         i =>
           i.serves === this.cfg.serves &&
           i.state === 'live' &&
           i.id !== this.cfg.id,
       );
       await handover.handOverAll(
-        keeper,
+        slotManager,
         runs,
         service,
         slots,
-        mates.map(mate => mate.address),
+        successors.map(successor => successor.address),
         this.rpc,
         this.log,
       );
-      if (keeper.ownSlots().length === 0) {
+      if (slotManager.ownSlots().length === 0) {
         return;
       }
       await new Promise(resolve =>
@@ -351,14 +355,14 @@
   }
 
   private report(): targets.TargetReport {
-    const isAway = this.probe?.isReachable === false;
-    const live = isAway ? 'unreachable' : 'live';
+    const isUnreachable = this.probe?.isReachable === false;
+    const liveState = isUnreachable ? 'unreachable' : 'live';
     return {
       id: this.cfg.id,
       hall: this.cfg.hall,
       address: this.address,
       serves: this.serves,
-      state: this.leaving ? 'leaving' : live,
+      state: this.leaving ? 'leaving' : liveState,
       load: this.load(),
     };
   }
@@ -380,12 +384,12 @@
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
-    const face = {
+    const endpoints = {
       rpc: this.rpcServer,
       metrics: this.metrics,
       isReady: () => this.ready && !this.leaving,
     };
-    if (await answerProcessPath(face, req, res)) {
+    if (await answerProcessPath(endpoints, req, res)) {
       return;
     }
     if (!this.ready) {
@@ -425,9 +429,9 @@
     );
     const incoming = this.readIncoming(req, res);
     const url = new URL(req.url ?? '/', 'http://sidecar');
-    if (url.pathname.startsWith(assistant.STREAMS_PATH)) {
+    if (url.pathname.startsWith(chatRequest.STREAMS_PATH)) {
       await this.answerStream(incoming, url);
-    } else if (url.pathname === assistant.CHAT_PATH && this.probe) {
+    } else if (url.pathname === chatRequest.CHAT_PATH && this.probe) {
       await this.chat.run(incoming);
     } else {
       await this.answerService(incoming, req.url ?? '/');
@@ -438,7 +442,7 @@
     incoming: IncomingRequest,
     url: URL,
   ): Promise<void> {
-    const request = url.pathname.slice(assistant.STREAMS_PATH.length);
+    const request = url.pathname.slice(chatRequest.STREAMS_PATH.length);
     if (incoming.req.method === 'DELETE') {
       await this.chat.cancel(incoming, request);
       return;
@@ -455,8 +459,8 @@
     if (this.service === undefined || !url.startsWith(prefix)) {
       incoming.req.resume();
       const refusal = refusals.notRun('not-found', `nothing under ${url}`);
-      const honest = refusals.withUnconfirmedOutcome(incoming.req, refusal);
-      refusals.sendRefusal(incoming.res, honest, incoming.id);
+      const answer = refusals.withUnconfirmedOutcome(incoming.req, refusal);
+      refusals.sendRefusal(incoming.res, answer, incoming.id);
       return;
     }
     await this.service.run(incoming, url.slice(prefix.length - 1));
@@ -497,7 +501,7 @@
   try {
     return fs.readFileSync(BOOT_ID_FILE, 'utf8').trim();
   } catch {
-    // Without a boot id no predecessor can be proved dead.
+    // A random id never matches, so no predecessor counts as dead by its boot.
     return randomUUID();
   }
 }
