--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -5,7 +5,7 @@
  */
 import * as http from 'node:http';
 import type {Socket} from 'node:net';
-import * as configurationApp from '../src/configuration/rpc-methods';
+import * as configurationApp from '../src/configuration/app';
 import * as parse from '../src/configuration/parse';
 import {Replica} from '../src/configuration/replica';
 import {accountKey, templateKey} from '../src/configuration/types';
--- a/features/at-most-once.steps.ts
+++ b/features/at-most-once.steps.ts
@@ -1,7 +1,7 @@
 import * as path from 'node:path';
 import * as uuid from 'uuid';
 import {StepDefinitions, autoBindSteps, loadFeature} from 'jest-cucumber';
-import * as claimsRpc from '../src/claims/rpc-methods';
+import * as claimsApp from '../src/claims/app';
 import * as keys from '../src/claims/keys';
 import {RpcClient} from '../src/rpc/client';
 import * as fleets from './support/fleet';
@@ -25,7 +25,7 @@
   const rpc = new RpcClient();
   const slot = keys.slotOf(keys.parseKey(text)!, SLOTS);
   for (const id of fleet.idsWithPrefix('ledger')) {
-    const table = await rpc.call(fleet.address(id), claimsRpc.table, {
+    const table = await rpc.call(fleet.address(id), claimsApp.table, {
       service: 'ledger',
     });
     const cells = table.ok ? table.value.cells : [];
--- a/features/configuration.steps.ts
+++ b/features/configuration.steps.ts
@@ -1,6 +1,6 @@
 import * as path from 'node:path';
 import {StepDefinitions, autoBindSteps, loadFeature} from 'jest-cucumber';
-import * as app from '../src/configuration/rpc-methods';
+import * as app from '../src/configuration/app';
 import * as edit from '../src/configuration/edit';
 import {accountKey} from '../src/configuration/types';
 import {HttpObjectApi} from '../src/platform/client';
--- a/src/claims/handover.ts
+++ b/src/claims/handover.ts
@@ -7,7 +7,7 @@
 import {Log} from '../observability/log';
 import type {RpcClient} from '../rpc/client';
 import type {RpcServer} from '../rpc/server';
-import * as rpcMethods from './rpc-methods';
+import * as app from './app';
 import type {SlotManager} from './slot-manager';
 import * as keys from './keys';
 import type {KeyedRuns} from './keyed-runs';
@@ -59,9 +59,7 @@
   rpc: RpcClient,
 ): Promise<Owner[]> {
   const answers = await Promise.all(
-    candidates.map(address =>
-      rpc.call(address, rpcMethods.successor, {service}),
-    ),
+    candidates.map(address => rpc.call(address, app.successor, {service})),
   );
   return answers.flatMap(answer =>
     answer.ok && answer.value.owner !== null ? [answer.value.owner] : [],
@@ -93,7 +91,7 @@
     const isLast = at + RECORDS_PER_MESSAGE > records.length;
     const sent = await rpc.call(
       successor.address,
-      rpcMethods.receive,
+      app.receive,
       {
         service,
         slot,
@@ -113,7 +111,7 @@
       break;
     }
   }
-  const activated = await rpc.call(successor.address, rpcMethods.activate, {
+  const activated = await rpc.call(successor.address, app.activate, {
     service,
     slot,
   });
@@ -135,10 +133,10 @@
   runs: KeyedRuns,
   accepting: () => boolean,
 ): void {
-  server.handle(rpcMethods.successor, params => ({
+  server.handle(app.successor, params => ({
     owner: params.service === service && accepting() ? manager.self : null,
   }));
-  server.handle(rpcMethods.receive, params => {
+  server.handle(app.receive, params => {
     if (params.service !== service || !accepting()) {
       return {accepted: false};
     }
@@ -150,7 +148,7 @@
     params.froms.forEach(from => manager.markRecordsHeld(params.slot, from));
     return {accepted: true};
   });
-  server.handle(rpcMethods.activate, async params => {
+  server.handle(app.activate, async params => {
     if (params.service !== service) {
       return {active: false};
     }
--- a/src/claims/owner-directory.ts
+++ b/src/claims/owner-directory.ts
@@ -5,7 +5,7 @@
  */
 import * as random from '../random';
 import type {RpcClient} from '../rpc/client';
-import * as rpcMethods from './rpc-methods';
+import * as app from './app';
 import * as keys from './keys';
 import type {Cell, Owner} from './types';
 
@@ -148,7 +148,7 @@
         random.integerBelow(addresses.length),
         1,
       );
-      const answer = await this.rpc.call(address!, rpcMethods.table, {service});
+      const answer = await this.rpc.call(address!, app.table, {service});
       for (const entry of answer.ok ? answer.value.cells : []) {
         const cellId = `${entry.slot} ${entry.cell.from}`;
         const known = merged.get(cellId);
--- a/src/commands/operators.ts
+++ b/src/commands/operators.ts
@@ -3,7 +3,7 @@
 import * as os from 'node:os';
 import type {Command} from 'commander';
 import * as v from 'valibot';
-import * as app from '../configuration/rpc-methods';
+import * as app from '../configuration/app';
 import * as edit from '../configuration/edit';
 import * as parse from '../configuration/parse';
 import * as types from '../configuration/types';
--- a/src/configuration/follower.ts
+++ b/src/configuration/follower.ts
@@ -24,7 +24,7 @@
 import type {RpcClient} from '../rpc/client';
 import type {RpcServer} from '../rpc/server';
 import type {StampExchange} from '../rpc/types';
-import * as methods from './rpc-methods';
+import * as app from './app';
 import * as replica from './replica';
 import {CONFIGURATION_PREFIX} from './types';
 
@@ -131,15 +131,15 @@
   }
 
   registerHandlers(server: RpcServer): void {
-    server.handle(methods.since, params => this.replica.since(params.version));
-    server.handle(methods.hello, () => ({}));
-    server.handle(methods.push, params => {
+    server.handle(app.since, params => this.replica.since(params.version));
+    server.handle(app.hello, () => ({}));
+    server.handle(app.push, params => {
       const before = replica.formatStamp(this.replica.stamp);
       this.replica.mergePushed(params.item);
       this.reportChange(before, 'operator');
       return {stamp: replica.formatStamp(this.replica.stamp)};
     });
-    server.handle(methods.wait, params => this.handleWait(params));
+    server.handle(app.wait, params => this.handleWait(params));
   }
 
   close(): void {
@@ -156,7 +156,7 @@
     const version = this.replica.stamp.complete;
     const delta = await this.rpcClient().call(
       address,
-      methods.since,
+      app.since,
       {version},
       FETCH_TIMEOUT_MS,
     );
@@ -195,7 +195,7 @@
       : own;
     for (const watcher of notified) {
       if (watcher.id !== this.identity.id && watcher.address !== source) {
-        void this.rpcClient().call(watcher.address, methods.hello, {});
+        void this.rpcClient().call(watcher.address, app.hello, {});
       }
     }
   }
@@ -215,7 +215,7 @@
     );
     if (others.length > 0) {
       const {address} = random.pick(others);
-      await this.rpcClient().call(address, methods.hello, {});
+      await this.rpcClient().call(address, app.hello, {});
     }
     if (!this.closing.signal.aborted) {
       this.gossipTimer = setTimeout(
@@ -297,7 +297,7 @@
     clearTimeout(this.instancePollTimer);
     const answer = await this.rpcClient().call(
       address,
-      methods.wait,
+      app.wait,
       {
         stamp: replica.formatStamp(this.replica.stamp),
         instancesDigest: this.instanceList.value.digest,
--- a/src/peers/peer-poller.ts
+++ b/src/peers/peer-poller.ts
@@ -6,7 +6,7 @@
  */
 import type {QuarantineNotice} from '../crashes/quarantine';
 import type {RpcClient} from '../rpc/client';
-import * as methods from './rpc-methods';
+import * as app from './app';
 import type {PeerDirectory} from './peer-directory';
 import type * as types from './types';
 
@@ -37,7 +37,7 @@
   digests(): types.KindDigest[];
   /** Applies a peer's updates. Returns true if they are recent. */
   applyUpdates(updates: readonly types.KindUpdate[], askedAt: number): boolean;
-  applyQuarantines(convicted: readonly QuarantineNotice[]): void;
+  applyQuarantines(notices: readonly QuarantineNotice[]): void;
   onAnswer(): void;
 }
 
@@ -96,7 +96,7 @@
     const {rpc, directory, from} = this.context;
     const askedAt = performance.now();
     const params = {from, held: this.context.digests()};
-    const answer = await rpc.call(peer, methods.pullUpdates, params, answerMs);
+    const answer = await rpc.call(peer, app.pullUpdates, params, answerMs);
     if (this.isClosed) {
       return;
     }
--- a/src/platform/watch-loop.test.ts
+++ b/src/platform/watch-loop.test.ts
@@ -26,16 +26,16 @@
   }
 
   it('lists first and confirms the time of the request', async () => {
-    const begunAt = performance.now();
+    const startedAt = performance.now();
     await sleep(20);
     expect(kinds()).toEqual(['listed', 'contact']);
-    expect(lastContact(events)).toBeLessThanOrEqual(begunAt + 5);
+    expect(lastContact(events)).toBeLessThanOrEqual(startedAt + 5);
   });
 
   it('confirms the whole wait of a watch without changes', async () => {
-    const begunAt = performance.now();
+    const startedAt = performance.now();
     await sleep(WAIT_MS + 100);
-    expect(lastContact(events)).toBeGreaterThanOrEqual(begunAt + WAIT_MS - 5);
+    expect(lastContact(events)).toBeGreaterThanOrEqual(startedAt + WAIT_MS - 5);
     expect(lastContact(events)).toBeLessThanOrEqual(performance.now());
   });
 
--- a/src/requests/entry-forward.ts
+++ b/src/requests/entry-forward.ts
@@ -8,7 +8,7 @@
 import {Result, fail, ok} from '../result';
 import type {Candidate, RoutedRequest} from '../routing/types';
 import type {Target} from '../targets/directory';
-import * as rests from '../targets/cooldown';
+import * as cooldowns from '../targets/cooldown';
 import * as entry from './entry-context';
 import * as headers from './headers';
 import * as refusals from './refusals';
@@ -93,7 +93,7 @@
     (lastRefusal === undefined || lastRefusal.kind === 'resting')
   ) {
     const {outcome} = lastRefusal ?? {outcome: 'not-run' as const};
-    const retryAfterMs = rests.withRetryJitter(cooldownMs);
+    const retryAfterMs = cooldowns.withRetryJitter(cooldownMs);
     const detail = 'all targets are in a cooldown';
     return {kind: 'resting', outcome, detail, retryAfterMs};
   }
--- a/src/requests/entry-service.ts
+++ b/src/requests/entry-service.ts
@@ -1,6 +1,6 @@
 /** An entry's part of service calls: to any target, or to the key's owner. */
 import type * as http from 'node:http';
-import * as claims from '../claims/rpc-methods';
+import * as claimsApp from '../claims/app';
 import * as keys from '../claims/keys';
 import type {Service} from '../configuration/types';
 import {isAddress} from '../http/address';
@@ -95,7 +95,7 @@
   }
   const answer = await context.rpc.call(
     owner.address,
-    claims.burn,
+    claimsApp.burn,
     {service: call.service, account: caller.account.id, key: key.text},
     BURN_TIMEOUT_MS,
   );
--- a/src/roles/sidecar.ts
+++ b/src/roles/sidecar.ts
@@ -3,7 +3,7 @@
 import * as fs from 'node:fs';
 import type * as http from 'node:http';
 import {Subscription} from 'rxjs';
-import * as claimsApp from '../claims/rpc-methods';
+import * as claimsApp from '../claims/app';
 import * as handover from '../claims/handover';
 import {SlotManager} from '../claims/slot-manager';
 import * as keys from '../claims/keys';
@@ -458,7 +458,7 @@
     const prefix = `/${this.serves.name}/`;
     if (this.service === undefined || !url.startsWith(prefix)) {
       incoming.req.resume();
-      const refusal = refusals.notRun('not-found', `nothing under ${url}`);
+      const refusal = refusals.notRun('not-found', `no resource at ${url}`);
       const answer = refusals.withUnconfirmedOutcome(incoming.req, refusal);
       refusals.sendRefusal(incoming.res, answer, incoming.id);
       return;
--- a/src/roles/site-follower.ts
+++ b/src/roles/site-follower.ts
@@ -10,7 +10,7 @@
 import type {Target} from '../forwarding/types';
 import type {SuspensionDetector} from '../suspension-detector';
 import type {Log} from '../observability/log';
-import * as peerMethods from '../peers/rpc-methods';
+import * as peersApp from '../peers/app';
 import {KindReplica} from '../peers/kind-replica';
 import {PeerDirectory} from '../peers/peer-directory';
 import {PeerPoller} from '../peers/peer-poller';
@@ -138,7 +138,7 @@
       digests: () => this.replicas.map(copy => copy.currentDigest),
       applyUpdates: (updates, askedAt) =>
         this.applyPeerUpdates(updates, askedAt),
-      applyQuarantines: convicted => this.crashes.applyNotices(convicted),
+      applyQuarantines: notices => this.crashes.applyNotices(notices),
       onAnswer: () => context.lastContact.recordAnswer(),
     });
   }
@@ -196,7 +196,7 @@
 
   /** Starts to follow the site and to answer peers on `server`. */
   open(server: RpcServer): void {
-    server.handle(peerMethods.pullUpdates, call => {
+    server.handle(peersApp.pullUpdates, call => {
       this.context.suspensionDetector.check();
       this.peerDirectory.add([call.from]);
       const now = performance.now();
--- a/src/roles/site-sidecar.ts
+++ b/src/roles/site-sidecar.ts
@@ -1,7 +1,7 @@
 /** The sidecar of a site: represents the rank that runs beside it. */
 import * as crypto from 'node:crypto';
 import type * as http from 'node:http';
-import * as experts from '../experts/app';
+import * as expertsApp from '../experts/app';
 import {GroupMember} from '../experts/group-member';
 import {RankAgent} from '../experts/rank-agent';
 import {BranchHead} from '../experts/branch';
@@ -61,15 +61,15 @@
   async open(): Promise<void> {
     const {agent, maps, rpcClient} = this;
     const head = new BranchHead(agent, maps, rpcClient);
-    this.rpcServer.handle(experts.read, async call => {
+    this.rpcServer.handle(expertsApp.read, async call => {
       const {ranks, growth} = await head.read(call);
       return {ranks: [...ranks], growth: growth && packing.packGrowth(growth)};
     });
-    this.rpcServer.handle(experts.order, async ({term, order, members}) => ({
+    this.rpcServer.handle(expertsApp.order, async ({term, order, members}) => ({
       results: await head.order(term, order, members),
     }));
-    this.rpcServer.handle(experts.orderOther, async call => {
-      const order = experts.orderFromWire(call.order, maps);
+    this.rpcServer.handle(expertsApp.orderOther, async call => {
+      const order = expertsApp.orderFromWire(call.order, maps);
       return {
         result:
           typeof order === 'string'
@@ -78,9 +78,9 @@
       };
     });
     this.rpcServer.handle(
-      experts.orderOthers,
+      expertsApp.orderOthers,
       async ({term, targets, order}) => {
-        const read = experts.orderFromWire(order, maps);
+        const read = expertsApp.orderFromWire(order, maps);
         return {
           results:
             typeof read === 'string'
@@ -89,11 +89,11 @@
         };
       },
     );
-    this.rpcServer.handle(experts.view, async ({waitMs}) => {
+    this.rpcServer.handle(expertsApp.view, async ({waitMs}) => {
       await this.agent.waitForChange(waitMs);
       return {known: this.agent.groupView, seen: this.agent.groupStatus};
     });
-    this.rpcServer.handle(experts.hearing, () => ({
+    this.rpcServer.handle(expertsApp.hearing, () => ({
       isPlannerHeard: this.agent.isPlannerHeard,
     }));
     const {host, rpcPort, metricsPort} = this.cfg;
