--- a/src/crashes/crash-coordinator.ts
+++ b/src/crashes/crash-coordinator.ts
@@ -107,10 +107,10 @@
   /** Records that a request was served. */
   noteServed(digest: string): void {
     const now = performance.now();
-    const toldAt = this.servedReportedAt.get(digest) ?? -Infinity;
+    const reportedAt = this.servedReportedAt.get(digest) ?? -Infinity;
     if (
       this.localSuspects.isSuspect(digest, now) &&
-      now - toldAt > SERVED_REPORT_INTERVAL_MS
+      now - reportedAt > SERVED_REPORT_INTERVAL_MS
     ) {
       this.servedReportedAt.set(digest, now);
       setTimeout(
@@ -126,10 +126,10 @@
     return this.quarantine.notices(performance.now());
   }
 
-  /** Applies the quarantine of a peer. */
-  applyNotices(convicted: readonly QuarantineNotice[]): void {
+  /** Quarantines the requests that a peer has quarantined. */
+  applyNotices(notices: readonly QuarantineNotice[]): void {
     const now = performance.now();
-    for (const {digest, leftMs} of convicted) {
+    for (const {digest, leftMs} of notices) {
       if (this.quarantine.add(digest, leftMs, now)) {
         this.context.log.event('requestConvicted', {digest, by: 'peer'});
       }
@@ -208,18 +208,20 @@
   }
 
   private async notifyPeers(
-    convicted: readonly QuarantineNotice[],
+    notices: readonly QuarantineNotice[],
   ): Promise<void> {
-    const {directory: book} = this.context.peers;
-    await Promise.all(book.known.map(peer => this.notifyPeer(peer, convicted)));
+    const {directory} = this.context.peers;
+    await Promise.all(
+      directory.known.map(peer => this.notifyPeer(peer, notices)),
+    );
   }
 
   private async notifyPeer(
     peer: string,
-    convicted: readonly QuarantineNotice[],
+    notices: readonly QuarantineNotice[],
   ): Promise<void> {
     const {rpc, peers} = this.context;
-    const params = {from: peers.ownAddress, convicted: [...convicted]};
+    const params = {from: peers.ownAddress, convicted: [...notices]};
     for (
       let attempt = 0;
       attempt < MAX_ATTEMPTS && !this.isClosed;
--- a/src/crashes/quarantine.ts
+++ b/src/crashes/quarantine.ts
@@ -45,21 +45,21 @@
 
   /** True if a request must be refused; renews its quarantine. */
   checkAndRenew(digest: string, now: number): boolean {
-    const held = this.has(digest, now);
-    if (held) {
+    const isQuarantined = this.has(digest, now);
+    if (isQuarantined) {
       this.lastEndsAt = now + QUARANTINE_MS;
       this.entries.get(digest)!.endsAt = this.lastEndsAt;
     }
-    return held;
+    return isQuarantined;
   }
 
   /** True if peers must be notified again; records the notification. */
   takeNotification(digest: string, now: number): boolean {
-    const held = this.entries.get(digest);
+    const entry = this.entries.get(digest);
     const isDue =
-      held !== undefined && now - held.notifiedAt > NOTIFY_INTERVAL_MS;
+      entry !== undefined && now - entry.notifiedAt > NOTIFY_INTERVAL_MS;
     if (isDue) {
-      held.notifiedAt = now;
+      entry.notifiedAt = now;
     }
     return isDue;
   }
@@ -81,11 +81,11 @@
   }
 
   private has(digest: string, now: number): boolean {
-    const held = this.entries.get(digest);
-    if (held !== undefined && held.endsAt <= now) {
+    const entry = this.entries.get(digest);
+    if (entry !== undefined && entry.endsAt <= now) {
       this.entries.delete(digest);
       return false;
     }
-    return held !== undefined;
+    return entry !== undefined;
   }
 }
--- a/src/experts/change.test.ts
+++ b/src/experts/change.test.ts
@@ -1,6 +1,6 @@
 import * as xoroshiro from 'pure-rand/generator/xoroshiro128plus';
 import {SILENT_LOG} from '../observability/log';
-import * as changes from './change';
+import * as mapChange from './change';
 import * as types from './types';
 
 const RANKS = 4;
@@ -284,7 +284,7 @@
     order: types.Order,
   ): Promise<types.OrderResult> {
     const {group} = this.world;
-    const given =
+    const sentArm =
       order.kind === 'arm'
         ? {...order, rank: rankNumber, isConfirmed: false}
         : undefined;
@@ -293,10 +293,10 @@
       if (!this.acceptsTerm(helper)) {
         return 'deposed';
       }
-      group.ranks[helper]!.gave = given ?? null;
+      group.ranks[helper]!.gave = sentArm ?? null;
       const [result] = await helperRanks.orderRemotely([rankNumber], order);
-      if (given !== undefined) {
-        given.isConfirmed = result === 'done';
+      if (sentArm !== undefined) {
+        sentArm.isConfirmed = result === 'done';
       }
       return result!;
     });
@@ -392,11 +392,11 @@
   }
 }
 
-function newState(): changes.ChangerState {
+function newState(): mapChange.ChangerState {
   return {lastUsedStep: 0, armMs: undefined};
 }
 
-function change(version: number): changes.Change {
+function change(version: number): mapChange.Change {
   return {
     epoch: 1,
     version,
@@ -417,7 +417,7 @@
   it('switches every rank to the map and releases the group', async () => {
     const world = new World(7, NO_FAULTS);
     const {sim, group} = world;
-    const work = changes.changeMap(
+    const work = mapChange.changeMap(
       world.ranksOf(0, 1),
       change(5),
       ROLES,
@@ -446,7 +446,7 @@
           const holder = 1 + (at % 3);
           const roles = {own: 0, holder, helper: 1 + (holder % 3)};
           const next = change(at * 10);
-          await changes.changeMap(ranks, next, roles, state, SILENT_LOG);
+          await mapChange.changeMap(ranks, next, roles, state, SILENT_LOG);
         }
       })();
       await sim.until(work, 60_000);
@@ -467,7 +467,7 @@
       const {sim, group} = world;
       const from = sim.unit() * 300;
       world.freeze = {rank, from, to: from + 1_500 + sim.unit() * 2_000};
-      const old = changes.changeMap(
+      const old = mapChange.changeMap(
         world.ranksOf(0, 1),
         change(1),
         ROLES,
@@ -495,7 +495,7 @@
       const world = new World(seed, NO_FAULTS);
       const {sim, group} = world;
       const ranks = world.ranksOf(0, 1);
-      const old = changes.changeMap(
+      const old = mapChange.changeMap(
         ranks,
         change(1),
         ROLES,
@@ -523,7 +523,7 @@
       const world = new World(seed, NO_FAULTS);
       const {sim, group} = world;
       const ranks = world.ranksOf(0, 1);
-      const old = changes.changeMap(
+      const old = mapChange.changeMap(
         ranks,
         change(1),
         ROLES,
@@ -559,7 +559,7 @@
       };
       void freezeHelper();
       const next = {...change(1), passesAhead: () => 12};
-      const old = changes.changeMap(ranks, next, ROLES, state, SILENT_LOG);
+      const old = mapChange.changeMap(ranks, next, ROLES, state, SILENT_LOG);
       await sim.until(old, 60_000);
       if ((await old) !== 'not-held') {
         continue;
@@ -568,7 +568,7 @@
       for (let round = 0; round < 8; round += 1) {
         const release = (async () => {
           const readings = await ranks.read([0, 1, 2]);
-          return changes.releaseLateHold(
+          return mapChange.releaseLateHold(
             ranks,
             readings.flatMap(one => one ?? []),
             state.lastUsedStep,
@@ -596,7 +596,7 @@
       const work = (async () => {
         const readings = await ranks.read([0, 1, 2, 3]);
         const known = readings.flatMap(one => one ?? []);
-        return changes.releaseLateHold(ranks, known, heldStep);
+        return mapChange.releaseLateHold(ranks, known, heldStep);
       })();
       await sim.until(work, 10_000);
       return work;
@@ -620,7 +620,7 @@
     group.ranks[3]!.gave = gave;
     const resolve = async () => {
       const readings = (await ranks.read([1, 2, 3])).flatMap(one => one ?? []);
-      return changes.resolveOrphaned(ranks, readings, 0, SILENT_LOG);
+      return mapChange.resolveOrphaned(ranks, readings, 0, SILENT_LOG);
     };
     const first = resolve();
     await sim.until(first, 10_000);
@@ -645,7 +645,7 @@
       const readings = (await ranks.read([1, 2, 3])).flatMap(one => one ?? []);
       const [first, ...rest] = readings as [types.RankReading];
       const incomplete = [{...first, gave: undefined}, ...rest];
-      return changes.resolveOrphaned(ranks, incomplete, 0, SILENT_LOG);
+      return mapChange.resolveOrphaned(ranks, incomplete, 0, SILENT_LOG);
     })();
     await sim.until(work, 10_000);
     expect(await work).toBe('unknown');
@@ -676,11 +676,16 @@
     const readings = (await ranks.read(ranks.all)).flatMap(one => one ?? []);
     const states = readings.map(one => one.state);
     if (states.length === RANKS) {
-      const end = await changes.finishChange(ranks, readings, own, SILENT_LOG);
+      const end = await mapChange.finishChange(
+        ranks,
+        readings,
+        own,
+        SILENT_LOG,
+      );
       if (end === 'nothing-left') {
         version += 10;
         const roles = {own, holder: 3, helper: 1};
-        const outcome = await changes.changeMap(
+        const outcome = await mapChange.changeMap(
           ranks,
           change(version),
           roles,
@@ -696,7 +701,7 @@
         states.every(state => state.rank !== at),
       )!;
       if (silent === 0) {
-        await changes.resolveOrphaned(ranks, readings, silent, SILENT_LOG);
+        await mapChange.resolveOrphaned(ranks, readings, silent, SILENT_LOG);
       }
     }
     await world.sim.sleep(100);
@@ -708,7 +713,7 @@
   const ranks = world.ranksOf(own, 2);
   for (;;) {
     const readings = (await ranks.read(ranks.all)).flatMap(one => one ?? []);
-    const end = await changes.finishChange(ranks, readings, own, SILENT_LOG);
+    const end = await mapChange.finishChange(ranks, readings, own, SILENT_LOG);
     if (end === 'nothing-left') {
       return;
     }
--- a/src/experts/change.ts
+++ b/src/experts/change.ts
@@ -131,7 +131,7 @@
   return outcome;
 }
 
-/** The map version to arm, the pass to arm it for, and who arms whom. */
+/** The map version and pass to arm for, and the ranks with a special part. */
 interface ArmRequest {
   readonly epoch: number;
   readonly version: number;
@@ -316,7 +316,7 @@
       return step;
     }
     if (result !== 'refused') {
-      // The order may have been carried out, or may be later.
+      // The order may have been carried out, or may still be.
       await ranks.orderRemotely([holder], {kind: 'release', epoch, step});
       return undefined;
     }
--- a/src/experts/group-client.test.ts
+++ b/src/experts/group-client.test.ts
@@ -78,7 +78,7 @@
 function pauseClock(): void {
   const now = performance.now();
   jest.useFakeTimers({doNotFake: ['nextTick', 'setImmediate']});
-  // The fake clock starts from the present time of the real one.
+  // The fake clock starts at the current time of the real one.
   jest.advanceTimersByTime(now - performance.now());
 }
 
--- a/src/experts/group-client.ts
+++ b/src/experts/group-client.ts
@@ -318,8 +318,8 @@
     let isDeposed = false;
     await Promise.all(
       this.branchesOf(members).map(async sidecars => {
-        const round = await branch.readBranch(rpc, call, sidecars);
-        round.ranks.forEach((answer, at) => {
+        const reading = await branch.readBranch(rpc, call, sidecars);
+        reading.ranks.forEach((answer, at) => {
           const sidecar = sidecars[at]!;
           this.recordAnswer(sidecar, answer.kind !== 'silent');
           if (answer.kind === 'read') {
@@ -327,8 +327,8 @@
           }
           isDeposed ||= answer.kind === 'deposed';
         });
-        if (round.growth !== undefined) {
-          growth = packing.addGrowth(growth, round.growth);
+        if (reading.growth !== undefined) {
+          growth = packing.addGrowth(growth, reading.growth);
         }
       }),
     );
--- a/src/experts/group-member.ts
+++ b/src/experts/group-member.ts
@@ -25,7 +25,7 @@
 const WATCH_TIMEOUT_MS = 25_000;
 /** Members that are asked whether they hear a planner. */
 const MAX_ASKED_MEMBERS = 12;
-/** Time for a process that has just started to hear the present planner. */
+/** Time for a process that has just started to hear the current planner. */
 const STARTUP_DELAY_MS = 200;
 /** Election delay of each rank after the one before it. */
 const RANK_DELAY_MS = 50;
@@ -71,11 +71,11 @@
     this.planner = new GroupPlanner({
       group: context.service,
       figures: () => this.figures,
-      links: this.groupClient,
+      groupClient: this.groupClient,
       term: () => this.election?.term ?? 0,
       ownRank: () => this.rank,
       ownState: () => this.readOwnState(),
-      formerRank: () => this.election?.previousRank,
+      previousRank: () => this.election?.previousRank,
       onDeposed: () => this.election?.stepDown(),
       onTick: () => this.updateWatches(),
       log: context.log,
--- a/src/experts/map-changer.ts
+++ b/src/experts/map-changer.ts
@@ -32,7 +32,7 @@
   readonly group: string;
   /** Undefined until the configuration is known. */
   figures(): ExpertParameters | undefined;
-  readonly links: GroupClient;
+  readonly groupClient: GroupClient;
   /** Term of this planner; 0 while this process is not the planner. */
   term(): number;
   /** The rank on this instance. */
@@ -40,7 +40,7 @@
   /** Its state, read locally; undefined if unavailable. */
   ownState(): Promise<RankState | undefined>;
   /** Rank of the previous planner; undefined if unknown. */
-  formerRank(): number | undefined;
+  previousRank(): number | undefined;
   onDeposed(): void;
   /** Called before each reading. */
   onTick(): void;
@@ -214,9 +214,9 @@
   ranks: GroupRanks,
   own: number,
 ): {holder: number; helper: number} {
-  const heard = ranks.responsive.filter(rank => rank !== own);
+  const responsive = ranks.responsive.filter(rank => rank !== own);
   const others =
-    heard.length > 1 ? heard : ranks.all.filter(rank => rank !== own);
+    responsive.length > 1 ? responsive : ranks.all.filter(rank => rank !== own);
   const [holder = own, helper = holder] = random.sample(others, 2);
   return {holder, helper};
 }
--- a/src/experts/plan.ts
+++ b/src/experts/plan.ts
@@ -177,7 +177,7 @@
     );
     maxLoad = Math.max(maxLoad, load * slowness[rank]!);
   });
-  const total = demand.reduce((sum, asked) => sum + asked, 0);
+  const total = demand.reduce((sum, one) => sum + one, 0);
   return maxLoad / (total / held.length || 1);
 }
 
--- a/src/experts/planner-election.ts
+++ b/src/experts/planner-election.ts
@@ -14,7 +14,7 @@
 const MAX_BACKOFF_MS = 4_000;
 /** Time for a planner that has just been elected to make its first reading. */
 const NEW_PLANNER_GRACE_MS = 150;
-/** Lets other members run first after this one has stepped down. */
+/** Lets other members be elected first after this one has stepped down. */
 const STEP_DOWN_COOLDOWN_MS = 900;
 
 const plannerRecordSchema = v.object({
--- a/src/experts/planner.ts
+++ b/src/experts/planner.ts
@@ -6,7 +6,7 @@
 import type {ExpertParameters} from '../routes/types';
 import * as mapChange from './change';
 import {RecentDemand} from './demand';
-import * as links from './group-client';
+import * as groupClient from './group-client';
 import type {GroupRanks, GroupReading} from './group-client';
 import * as mapChanger from './map-changer';
 import * as plans from './plan';
@@ -165,7 +165,7 @@
     const figures = this.context.figures();
     if (figures === undefined) {
       // A reading tells the other members who the planner is.
-      await this.context.links.read(links.STATES_ONLY);
+      await this.context.groupClient.read(groupClient.STATES_ONLY);
       return;
     }
     if (this.known === undefined && !this.isChanging) {
@@ -173,7 +173,9 @@
       return;
     }
     const readAt = performance.now();
-    const reading = await this.context.links.read(links.PLANNING_READ);
+    const reading = await this.context.groupClient.read(
+      groupClient.PLANNING_READ,
+    );
     this.recordReadingTime(performance.now() - readAt);
     if (reading.isDeposed) {
       this.context.onDeposed();
@@ -184,7 +186,7 @@
     this.lastView = undefined;
     if (hasDrifted) {
       // Passes the new view on to entries before the next reading.
-      void this.context.links.read(links.STATES_ONLY);
+      void this.context.groupClient.read(groupClient.STATES_ONLY);
     }
     // A reading that started during a change may show the group held.
     const isAfterChange = readAt > this.changer.endedAt;
@@ -202,13 +204,13 @@
 
   /** Finishes a change left by another planner, then reads the map in force. */
   private async recover(): Promise<void> {
-    const {links, log, group, ownRank, term} = this.contextParts();
-    const reading = await links.readAll();
+    const {client, log, group, ownRank, term} = this.contextParts();
+    const reading = await client.readAll();
     if (reading.isDeposed) {
       this.context.onDeposed();
       return;
     }
-    const ranks = links.ranksOf(reading);
+    const ranks = client.ranksOf(reading);
     if (ranks === undefined) {
       await this.resolveOrphaned(reading);
       return;
@@ -228,9 +230,9 @@
   }
 
   private contextParts() {
-    const {links, log, group} = this.context;
+    const {groupClient: client, log, group} = this.context;
     const ownRank = this.context.ownRank();
-    return {links, log, group, ownRank, term: this.context.term()};
+    return {client, log, group, ownRank, term: this.context.term()};
   }
 
   /**
@@ -238,19 +240,24 @@
    * read: the group may be held and must not wait for that rank.
    */
   private async resolveOrphaned(reading: GroupReading): Promise<void> {
-    const {links, log, metrics} = this.context;
-    const former = this.context.formerRank();
+    const {groupClient: client, log, metrics} = this.context;
+    const previousRank = this.context.previousRank();
     const readings = [...reading.ranks.values()];
     const [first] = readings;
-    const isOnlyFormerMissing =
+    const isOnlyPreviousMissing =
       !this.hasStarted &&
       first !== undefined &&
-      former !== undefined &&
+      previousRank !== undefined &&
       readings.length === first.state.size - 1 &&
-      readings.every(one => one.state.rank !== former);
-    if (isOnlyFormerMissing) {
-      const ranks = links.partialRanksOf(reading);
-      const end = await mapChange.resolveOrphaned(ranks, readings, former, log);
+      readings.every(one => one.state.rank !== previousRank);
+    if (isOnlyPreviousMissing) {
+      const ranks = client.partialRanksOf(reading);
+      const end = await mapChange.resolveOrphaned(
+        ranks,
+        readings,
+        previousRank,
+        log,
+      );
       metrics.count('orphaned_changes_total', {end});
     }
   }
@@ -362,7 +369,7 @@
     const isGroupHeld = readings.some(({state}) => state.held !== null);
     const isKnownVersion = own.mapVersion === known.version;
     if (isGroupHeld && isKnownVersion) {
-      // A helper that froze while ordering the hold may cause a late one.
+      // A hold may take effect late if the helper froze while ordering it.
       // Releasing it here avoids a recovery, which would wait for the helper.
       if (await this.changer.releaseLateHold(known.ranks, readings)) {
         return false;
--- a/src/experts/rank-agent.ts
+++ b/src/experts/rank-agent.ts
@@ -57,7 +57,6 @@
     {readonly isOpen: boolean; readonly at: number} | undefined;
   private readonly changes = new rxjs.Subject<void>();
   /** The planner's last summary of the group; undefined: it has none. */
-  /** The planner's last summary of the group; undefined: it has none. */
   private report: {readonly view: GroupView; readonly at: number} | undefined;
   /** By target; the least recently used first. */
   private readonly otherEngines = new Map<string, Engine>();
--- a/src/experts/set-placement.test.ts
+++ b/src/experts/set-placement.test.ts
@@ -21,13 +21,16 @@
 }
 
 /** Load of the most loaded rank divided by the mean load. */
-function imbalanceOf(held: readonly number[][], asked: Float64Array): number {
+function imbalanceOf(
+  held: readonly number[][],
+  expertDemand: Float64Array,
+): number {
   const holders = (expert: number) =>
     held.filter(experts => experts.includes(expert)).length;
   const loads = held.map(experts =>
-    experts.reduce((sum, one) => sum + asked[one]! / holders(one), 0),
+    experts.reduce((sum, one) => sum + expertDemand[one]! / holders(one), 0),
   );
-  const total = asked.reduce((sum, one) => sum + one, 0);
+  const total = expertDemand.reduce((sum, one) => sum + one, 0);
   return (Math.max(...loads) * held.length) / total;
 }
 
@@ -36,8 +39,13 @@
     fc.assert(
       fc.property(demand, demand, maxNew, (first, second, limits) => {
         let held = initialHeld();
-        for (const asked of [first, second]) {
-          const input = {held, demand: asked, slowness: EVEN, places: PLACES};
+        for (const expertDemand of [first, second]) {
+          const input = {
+            held,
+            demand: expertDemand,
+            slowness: EVEN,
+            places: PLACES,
+          };
           const placed = setPlacement.placeExperts({...input, maxNew: limits});
           if (placed === undefined) {
             continue;
@@ -58,9 +66,9 @@
   });
 
   it('copies nothing between balanced ranks', () => {
-    const asked = Float64Array.from({length: EXPERTS}, () => 5);
+    const expertDemand = Float64Array.from({length: EXPERTS}, () => 5);
     const held = initialHeld();
-    const input = {held, demand: asked, slowness: EVEN, places: PLACES};
+    const input = {held, demand: expertDemand, slowness: EVEN, places: PLACES};
     const placed = setPlacement.placeExperts({
       ...input,
       maxNew: EVEN.map(() => 3),
@@ -71,25 +79,25 @@
   });
 
   it('gives an expert with half of the demand at least half of the ranks', () => {
-    const asked = Float64Array.from({length: EXPERTS}, () => 1);
-    asked[3] = EXPERTS - 1;
+    const expertDemand = Float64Array.from({length: EXPERTS}, () => 1);
+    expertDemand[3] = EXPERTS - 1;
     const held = initialHeld();
-    const input = {held, demand: asked, slowness: EVEN, places: PLACES};
+    const input = {held, demand: expertDemand, slowness: EVEN, places: PLACES};
     const placed = setPlacement.placeExperts({
       ...input,
       maxNew: EVEN.map(() => 3),
     })!;
     const holders = placed.filter(experts => experts.includes(3)).length;
     expect(holders).toBeGreaterThanOrEqual(5);
-    expect(imbalanceOf(held, asked)).toBeGreaterThan(4);
-    expect(imbalanceOf(placed, asked)).toBeLessThan(1.35);
+    expect(imbalanceOf(held, expertDemand)).toBeGreaterThan(4);
+    expect(imbalanceOf(placed, expertDemand)).toBeLessThan(1.35);
   });
 
   it('gives a slow rank fewer experts', () => {
-    const asked = Float64Array.from({length: EXPERTS}, () => 5);
+    const expertDemand = Float64Array.from({length: EXPERTS}, () => 5);
     const slowness = EVEN.map((_, rank) => (rank === 2 ? 4 : 1));
     const held = initialHeld();
-    const input = {held, demand: asked, slowness, places: PLACES};
+    const input = {held, demand: expertDemand, slowness, places: PLACES};
     const placed = setPlacement.placeExperts({
       ...input,
       maxNew: EVEN.map(() => 3),
--- a/src/experts/set-placement.ts
+++ b/src/experts/set-placement.ts
@@ -102,11 +102,11 @@
 
   private place(expert: number): boolean {
     const share = this.shareOf(expert);
-    const own = this.holders[expert]!;
-    const isReserved = own.length === 1 && this.holderCounts[expert] === 1;
+    const current = this.holders[expert]!;
+    const isReserved = current.length === 1 && this.holderCounts[expert] === 1;
     if (isReserved) {
-      this.reserved[own[0]!]! -= 1;
-      this.loads[own[0]!]! -= share;
+      this.reserved[current[0]!]! -= 1;
+      this.loads[current[0]!]! -= share;
     }
     const kept = this.holdersToKeep(expert, share);
     kept.forEach(rank => this.assign(expert, rank, share));
@@ -121,7 +121,7 @@
         return false;
       }
       this.assign(expert, rank, share);
-      this.addedCounts[rank]! += own.includes(rank) ? 0 : 1;
+      this.addedCounts[rank]! += current.includes(rank) ? 0 : 1;
     }
     return true;
   }
@@ -152,10 +152,10 @@
       }
     }
     // Staying at a current holder costs no copy.
-    const own = this.holders[expert]!.filter(
+    const current = this.holders[expert]!.filter(
       rank => this.hasFreePlace(rank) && !this.placed[rank]!.includes(expert),
     );
-    for (const rank of own) {
+    for (const rank of current) {
       const then = (this.loads[rank]! + share) / this.fairLoads[rank]!;
       if (then <= least * MIN_MOVE_RATIO) {
         least = then;
@@ -179,9 +179,9 @@
   private fallbackHolder(expert: number): number | undefined {
     const isFree = (rank: number) =>
       this.hasFreePlace(rank) && !this.placed[rank]!.includes(expert);
-    const own = this.holders[expert]!.filter(isFree);
-    if (own.length > 0) {
-      return own.reduce((a, b) =>
+    const current = this.holders[expert]!.filter(isFree);
+    if (current.length > 0) {
+      return current.reduce((a, b) =>
         this.relativeLoad(b) < this.relativeLoad(a) ? b : a,
       );
     }
@@ -207,7 +207,7 @@
   maxShare: number,
   ranks: number,
 ): number[] {
-  return Array.from(demand, asked =>
-    Math.min(Math.max(Math.ceil(asked / maxShare), 1), ranks),
+  return Array.from(demand, expertDemand =>
+    Math.min(Math.max(Math.ceil(expertDemand / maxShare), 1), ranks),
   );
 }
--- a/src/experts/set-search.ts
+++ b/src/experts/set-search.ts
@@ -72,10 +72,10 @@
     this.loads = new Float64Array(held.length);
     this.addedCounts = new Array<number>(held.length).fill(0);
     let total = 0;
-    demand.forEach((asked, expert) => {
-      total += asked;
+    demand.forEach((expertDemand, expert) => {
+      total += expertDemand;
       const ranks = this.holders[expert]!;
-      const share = asked / ranks.length;
+      const share = expertDemand / ranks.length;
       ranks.forEach(rank => (this.loads[rank]! += share * slowness[rank]!));
     });
     this.meanLoad = total / held.length || 1;
@@ -244,11 +244,11 @@
     evicted: number,
     swapped: number,
   ): void {
-    const asked = this.demand[expert]!;
+    const expertDemand = this.demand[expert]!;
     const holders = this.holders[expert]!;
-    const share = asked / holders.length;
+    const share = expertDemand / holders.length;
     if (keepsSource) {
-      const after = asked / (holders.length + 1);
+      const after = expertDemand / (holders.length + 1);
       for (const rank of holders) {
         this.addDelta(rank, after - share);
       }
--- a/src/experts/types.ts
+++ b/src/experts/types.ts
@@ -132,7 +132,7 @@
 
 /**
  * Result of an order. `no-answer`: the order may have been carried out, or may
- * be seconds later. `deposed`: the sidecar has heard a planner with a higher
+ * still be, seconds later. `deposed`: the sidecar has heard a planner with a higher
  * term, or the time for retries is over.
  */
 export type OrderResult = 'done' | 'refused' | 'no-answer' | 'deposed';
--- a/src/forwarding/call.ts
+++ b/src/forwarding/call.ts
@@ -89,10 +89,10 @@
       return;
     }
     this.isAnswered = true;
-    const made = this.context.wire.refusalHead(refusal, this.head?.id);
+    const response = this.context.wire.refusalHead(refusal, this.head?.id);
     const body = Buffer.from(JSON.stringify(bodyOf(refusal)));
-    this.res.writeHead(made.status, [
-      ...made.headers,
+    this.res.writeHead(response.status, [
+      ...response.headers,
       'Content-Type',
       'application/json',
       'Content-Length',
@@ -100,7 +100,7 @@
       ...this.connectionHeaders(refusal.kind === 'too-large'),
     ]);
     this.res.end(body);
-    this.end('why' in refusal ? refusal.why : refusal.kind, made.status);
+    this.end('why' in refusal ? refusal.why : refusal.kind, response.status);
   }
 
   /** Passes on a target's complete response. */
--- a/src/forwarding/exchange.ts
+++ b/src/forwarding/exchange.ts
@@ -1,6 +1,6 @@
 /** Sends a request to one target, once, and classifies the outcome. */
 import type * as http from 'node:http';
-import * as bodies from '../http/body';
+import * as body from '../http/body';
 import * as httpClient from '../http/client';
 import type {
   RequestMetadata,
@@ -15,7 +15,7 @@
 /** Shorter than TCP's first SYN retransmission, which comes after a second. */
 const CONNECT_TIMEOUT_MS = 400;
 
-/** Statuses by which a server states that it did not run the request. */
+/** Statuses by which a target states that it did not run the request. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 /** How a send ended. */
@@ -100,7 +100,7 @@
     isTimedOut = true;
     res.destroy();
   }, send.deadline - performance.now());
-  const read = await bodies.readBody(res, MAX_BODY_BYTES);
+  const read = await body.readBody(res, MAX_BODY_BYTES);
   clearTimeout(timer);
   if (send.signal.aborted) {
     return {kind: 'cancelled'};
@@ -116,7 +116,8 @@
     return {kind: 'unknown', why: 'broken-answer'};
   }
   if (NOT_RUN_STATUSES.has(head.status)) {
-    // Passed on, it would state that nothing ran, without the target's proof.
+    // Passed on, this status would tell the caller that the request did not run,
+    // although the target has not stated it.
     return {kind: 'unknown', why: 'unproven-refusal'};
   }
   return {kind: 'answered', head, body: read.value};
--- a/src/forwarding/forwarder.ts
+++ b/src/forwarding/forwarder.ts
@@ -4,7 +4,7 @@
  */
 import type * as http from 'node:http';
 import type {CrashCoordinator} from '../crashes/crash-coordinator';
-import * as bodies from '../http/body';
+import * as body from '../http/body';
 import {Log} from '../observability/log';
 import {Metrics} from '../observability/metrics';
 import type {LastContact} from '../peers/last-contact';
@@ -115,41 +115,41 @@
     }
     call.head = head;
     await this.context.whenRoutable(STARTUP_WAIT_MS);
-    const route = this.resolveRoute(call, head);
-    if (route === undefined) {
+    const resolved = this.resolveRoute(call, head);
+    if (resolved === undefined) {
       return;
     }
     const timeLeftMs = head.timeLeftMs ?? DEFAULT_TIME_LEFT_MS;
     call.setRoute(
-      route.route,
-      route.account?.name,
-      Math.min(timeLeftMs, route.route.timeoutMs),
+      resolved.route,
+      resolved.account?.name,
+      Math.min(timeLeftMs, resolved.route.timeoutMs),
     );
     call.isLikelyRetry =
       head.timeLeftMs !== undefined &&
       this.retryDetector.isLikelyRetry(
-        route.route.name,
+        resolved.route.name,
         head.timeLeftMs,
-        route.route.timeoutMs,
+        resolved.route.timeoutMs,
       );
     const limit = this.context.configuration.table!.snapshot.limits.bodyBytes;
-    const body = await bodies.readBody(call.req, limit);
-    if (!body.ok) {
-      if (body.error.kind === 'body-too-large') {
+    const read = await body.readBody(call.req, limit);
+    if (!read.ok) {
+      if (read.error.kind === 'body-too-large') {
         call.refuse({kind: 'too-large', limitBytes: limit});
       }
       return;
     }
-    const service = tables.pickService(route.route, random.uniform());
+    const service = tables.pickService(resolved.route, random.uniform());
     const request = {
       head,
-      body: hasBody(call.req) ? body.value : undefined,
-      route: route.route,
+      body: hasBody(call.req) ? read.value : undefined,
+      route: resolved.route,
       service,
-      account: route.account,
+      account: resolved.account,
     };
     this.budgetOf(service).noteRequest(performance.now());
-    const relay = route.route.kind === 'stream' ? this.streams : this.plain;
+    const relay = resolved.route.kind === 'stream' ? this.streams : this.plain;
     await relay.relay(call, request);
   }
 
--- a/src/forwarding/group-gate.test.ts
+++ b/src/forwarding/group-gate.test.ts
@@ -49,13 +49,13 @@
     const woken = gate.waitForOpenOrProbe('g', never);
     gate.noteAccepted('g', 12);
     await woken;
-    const left = new AbortController();
-    const gone = closedAt(performance.now()).waitForOpenOrProbe(
+    const controller = new AbortController();
+    const aborted = closedAt(performance.now()).waitForOpenOrProbe(
       'g',
-      left.signal,
+      controller.signal,
     );
-    left.abort();
-    await gone;
+    controller.abort();
+    await aborted;
   });
 
   it('admits no probe while a sidecar reports it closed', () => {
@@ -95,12 +95,12 @@
 
 describe('detecting retries', () => {
   it('compares the time left with that of other callers', () => {
-    const ages = new RetryDetector();
-    expect(ages.isLikelyRetry('r', 8_017, 8_000)).toBe(false);
-    expect(ages.isLikelyRetry('r', 8_010, 8_000)).toBe(false);
-    expect(ages.isLikelyRetry('r', 6_400, 8_000)).toBe(true);
+    const detector = new RetryDetector();
+    expect(detector.isLikelyRetry('r', 8_017, 8_000)).toBe(false);
+    expect(detector.isLikelyRetry('r', 8_010, 8_000)).toBe(false);
+    expect(detector.isLikelyRetry('r', 6_400, 8_000)).toBe(true);
     // Above the route's timeout, callers are compared with each other.
-    expect(ages.isLikelyRetry('q', 1_500, 800)).toBe(false);
-    expect(ages.isLikelyRetry('q', 1_100, 800)).toBe(true);
+    expect(detector.isLikelyRetry('q', 1_500, 800)).toBe(false);
+    expect(detector.isLikelyRetry('q', 1_100, 800)).toBe(true);
   });
 });
--- a/src/forwarding/group-gate.ts
+++ b/src/forwarding/group-gate.ts
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Takes what a sidecar saw of the group at the monotonic time `at`. A report
-   * older than what a request's outcome showed is ignored.
+   * Applies a sidecar's report on the group as of the monotonic time `at`. Ignored
+   * if a request's outcome has shown a later state.
    */
   noteReport(group: string, isOpen: boolean, at: number): ReportEffect {
     const state = this.groups.get(group);
--- a/src/forwarding/group-request-limit.ts
+++ b/src/forwarding/group-request-limit.ts
@@ -35,11 +35,11 @@
   const step =
     engine.perSequenceMs + (engine.perContextKMs * context) / THOUSAND;
   const passes = Math.max(engine.meanAnswerTokens / engine.stride, 1);
-  const readMs =
+  const prefillMs =
     engine.promptTokensPerSecond > 0
       ? (engine.meanPromptTokens / engine.promptTokensPerSecond) * THOUSAND
       : 0;
-  return step * engine.stride + readMs / passes;
+  return step * engine.stride + prefillMs / passes;
 }
 
 /** Milliseconds of a pass with `perRank` requests on each rank. */
--- a/src/forwarding/group-views.ts
+++ b/src/forwarding/group-views.ts
@@ -4,14 +4,14 @@
  * calling each other; a view may be up to `MAX_VIEW_AGE_MS` old.
  */
 import * as rxjs from 'rxjs';
-import * as experts from '../experts/app';
+import * as expertsApp from '../experts/app';
 import type {GroupView} from '../experts/types';
 import type {LastContact} from '../peers/last-contact';
 import * as grouping from '../grouping';
 import * as random from '../random';
 import type {EngineParameters} from '../routes/types';
 import type {RpcClient} from '../rpc/client';
-import * as limits from './group-request-limit';
+import * as groupRequestLimit from './group-request-limit';
 import type {Target} from './types';
 
 /** Pause between long polls. */
@@ -166,7 +166,7 @@
     );
     const requests = reported + (own - ownAtReceipt) * scale;
     return {
-      most: limits.maxRequests(engine, factors, pauseMs),
+      most: groupRequestLimit.maxRequests(engine, factors, pauseMs),
       requests,
       imbalance,
       slowness,
@@ -194,7 +194,7 @@
     return {
       imbalance,
       slowness,
-      most: limits.maxRequests(engine, factors, pauseMs),
+      most: groupRequestLimit.maxRequests(engine, factors, pauseMs),
       requests:
         sumOf(own) * Math.min(this.context.knownEntryCount(), MAX_ENTRIES),
       ageMs: Infinity,
@@ -233,7 +233,7 @@
     const [host] = rank.address.split(':', 1);
     const response = await rpc.call(
       `${host}:${rpcPort}`,
-      experts.view,
+      expertsApp.view,
       {waitMs: LONG_POLL_MS},
       LONG_POLL_MS + RESPONSE_MARGIN_MS,
     );
--- a/src/forwarding/retry-delays.ts
+++ b/src/forwarding/retry-delays.ts
@@ -4,13 +4,13 @@
  * attempt left: a delay that ends too early costs them the answer. Pure.
  */
 import * as random from '../random';
-import * as rests from '../targets/cooldown';
+import * as cooldowns from '../targets/cooldown';
 
-/** Where no target of the service is known. */
+/** Delay if no target of the service is known. */
 export const NO_TARGET_DELAY_MS = 300;
-/** Where all targets are overloaded: about the duration of a stream. */
+/** Delay if all targets are overloaded: about the duration of a stream. */
 const OVERLOADED_DELAY_MS = 1_600;
-/** Where a target was full: share of the time left, capped below. */
+/** Delay after a full target's refusal, as a share of the time left. */
 const FULL_DELAY_SHARE = 0.25;
 const MAX_FULL_DELAY_MS = 1_000;
 /** Maximum delay as a share of the time left. */
@@ -39,33 +39,33 @@
 }
 
 /**
- * Where all targets are in cooldown, the first for `cooldownMs`: after it, at
- * most as late as the caller honours, with jitter.
+ * If all targets are in cooldown and the first becomes available in
+ * `cooldownMs`: that time, or the maximum delay if shorter, each with jitter.
  */
 export function afterCooldown(cooldownMs: number, leftMs: number): number {
   return Math.min(
-    rests.withRetryJitter(cooldownMs),
+    cooldowns.withRetryJitter(cooldownMs),
     maxDelayMs(leftMs) * jitterShare(),
   );
 }
 
 /**
- * Where all targets are at their rate limits: at the caller's scheduled retry,
- * at most as late as it honours, with jitter.
+ * If all targets are at their rate limits: the time until the caller's scheduled
+ * retry, or the maximum delay with jitter if shorter.
  */
 export function afterLimit(scheduledMs: number, leftMs: number): number {
   return Math.min(scheduledMs, maxDelayMs(leftMs) * jitterShare());
 }
 
-/** Where the request crashes targets: as late as the caller honours. */
+/** If the request crashes targets: the maximum delay with jitter. */
 export function afterCrashes(leftMs: number): number {
   return maxDelayMs(leftMs) * jitterShare();
 }
 
 /**
- * Where the group is closed: when it should have formed again. If that time has
- * passed, or the group has not been open since this process started (it may
- * lack ranks after an outage of the site), as late as the caller honours.
+ * If the group is closed: the time until it should have formed again. If that
+ * time has passed, or the group has not been open since this process started (it
+ * may lack ranks after an outage of the site), the maximum delay with jitter.
  */
 export function afterGroupClosed(group: ClosedGroup, leftMs: number): number {
   const opensInMs = group.formMs + FORM_MARGIN_MS - group.closedMs;
--- a/src/forwarding/stream-relay.ts
+++ b/src/forwarding/stream-relay.ts
@@ -3,7 +3,7 @@
  * stream can resume at another target after the last one, within the same
  * response to the caller.
  */
-import * as bodies from '../http/body';
+import * as body from '../http/body';
 import * as resets from '../http/resets';
 import {shouldMove} from './slow-ranks';
 import type {Call} from './call';
@@ -186,7 +186,7 @@
         if (events.length > 0) {
           begin();
           call.noteEvents();
-          await bodies.writeWithBackpressure(call.res, events);
+          await body.writeWithBackpressure(call.res, events);
         }
       }
       if (isComplete(from, splitter) && !call.isCallerGone) {
--- a/src/forwarding/target-list.ts
+++ b/src/forwarding/target-list.ts
@@ -185,13 +185,13 @@
   /** Applies the rate limit stated in a response; undefined: no change. */
   noteRateLimit(
     target: Target,
-    named: RateLimitHeader,
+    header: RateLimitHeader,
     sentAt: number,
     now: number,
   ): LimitChange | undefined {
     return this.ended.has(target.lifetime)
       ? undefined
-      : this.limits.applyAdvertised(target.lifetime, named, sentAt, now);
+      : this.limits.applyAdvertised(target.lifetime, header, sentAt, now);
   }
 
   /** Those of the targets that are rate-limited and with a permit held. */
@@ -285,12 +285,12 @@
         limitPerSecond: this.totalLimitOf(candidates),
       };
     }
-    const areAllResting = listed.every(one =>
+    const areAllInCooldown = listed.every(one =>
       this.cooldowns.isActive(one.lifetime, now),
     );
     return {
       waitMs,
-      reason: areAllResting ? 'resting' : 'returning',
+      reason: areAllInCooldown ? 'resting' : 'returning',
       limitPerSecond: 0,
     };
   }
@@ -349,8 +349,8 @@
     const newest = new Map<string, Target>();
     for (const {target} of this.listed.values()) {
       const other = newest.get(target.address);
-      const isNamed = this.knownServices?.has(target.service) ?? true;
-      if (isNamed && (other?.revision ?? -1) < target.revision) {
+      const isKnownService = this.knownServices?.has(target.service) ?? true;
+      if (isKnownService && (other?.revision ?? -1) < target.revision) {
         newest.set(target.address, target);
       }
     }
--- a/src/groups/lease.ts
+++ b/src/groups/lease.ts
@@ -20,12 +20,12 @@
   nonce: string,
 ): Promise<types.Fence | null> {
   const key = LEASES_PREFIX + group;
-  const held = await store.get(key);
-  if (!held.ok) {
+  const current = await store.get(key);
+  if (!current.ok) {
     return null;
   }
   const lease = {holder, nonce};
-  const written = await store.put(key, lease, held.value?.version ?? 0);
+  const written = await store.put(key, lease, current.value?.version ?? 0);
   if (written.ok) {
     return {lease: written.value, ballot: 0, rank};
   }
--- a/src/groups/map-change-coordinator.ts
+++ b/src/groups/map-change-coordinator.ts
@@ -167,22 +167,22 @@
     fence: types.Fence,
     draft: types.MapChange,
   ): Promise<ChangeResult> {
-    const now = allAccepted(await this.queryAll(null, fence));
-    if (now === undefined) {
+    const answers = allAccepted(await this.queryAll(null, fence));
+    if (answers === undefined) {
       return {kind: 'aborted', change: null, reason: 'a rank is silent'};
     }
-    const change = {...draft, step: this.switchStep(now)};
-    return this.armAndTell(fence, change, now);
+    const change = {...draft, step: this.switchStep(answers)};
+    return this.armAndTell(fence, change, answers);
   }
 
   private async armAndTell(
     fence: types.Fence,
     change: types.MapChange,
-    now: readonly types.RankAnswer[],
+    answers: readonly types.RankAnswer[],
   ): Promise<ChangeResult> {
     const armed = await Promise.all(
       this.links.map((link, at) =>
-        link.arm(change, fence, now[at]!.incarnation),
+        link.arm(change, fence, answers[at]!.incarnation),
       ),
     );
     if (allAccepted(armed) !== undefined) {
@@ -251,9 +251,9 @@
   }
 
   private sendAll(
-    ask: (link: RankLink) => Promise<LinkAnswer>,
+    send: (link: RankLink) => Promise<LinkAnswer>,
   ): Promise<LinkAnswer[]> {
-    return Promise.all(this.links.map(ask));
+    return Promise.all(this.links.map(send));
   }
 }
 
--- a/src/groups/map-change.test.ts
+++ b/src/groups/map-change.test.ts
@@ -430,7 +430,7 @@
       step: 9,
       map: mapOf(5),
     };
-    const asked = await group.members[2]!.query(null, early);
+    const queried = await group.members[2]!.query(null, early);
     // Another rank takes over, finds this one unarmed and aborts.
     await group.members[2]!.query(change, later);
     await group.members[2]!.abort(change, later);
@@ -438,7 +438,7 @@
     const late = await group.members[2]!.arm(
       change,
       early,
-      asked.answer!.incarnation,
+      queried.answer!.incarnation,
     );
     expect(late.refusal).toBe('other-incarnation');
     expect(group.ranks[2]!.hold).toBeNull();
--- a/src/groups/rank-service.ts
+++ b/src/groups/rank-service.ts
@@ -210,11 +210,11 @@
   }
 
   private mapToForm(version: number | null): types.ExpertMap {
-    const held = this.committedMap ?? {
+    const map = this.committedMap ?? {
       version: 1,
       layers: this.initialLayers(),
     };
-    return version === null ? held : {...held, version};
+    return version === null ? map : {...map, version};
   }
 
   private initialLayers(): number[][][] {
--- a/src/routing/policy.ts
+++ b/src/routing/policy.ts
@@ -39,7 +39,7 @@
   if (candidates.length <= HOME_CANDIDATES + RANDOM_CANDIDATES) {
     return [...candidates];
   }
-  const few = new Set(
+  const picked = new Set(
     rendezvous.topByKey(
       `${request.account}/${request.prefix}`,
       candidates,
@@ -49,11 +49,11 @@
   );
   const holders = candidates.filter(candidate => candidate.cachedTokens > 0);
   holders.sort((a, b) => b.cachedTokens - a.cachedTokens);
-  holders.slice(0, CACHED_CANDIDATES).forEach(holder => few.add(holder));
+  holders.slice(0, CACHED_CANDIDATES).forEach(holder => picked.add(holder));
   for (let drawn = 0; drawn < RANDOM_CANDIDATES; drawn += 1) {
-    few.add(random.pick(candidates));
+    picked.add(random.pick(candidates));
   }
-  return [...few];
+  return [...picked];
 }
 
 /** A uniformly random target. */
@@ -80,7 +80,7 @@
   }
 }
 
-/** The target with the fewest requests in flight from this entry. */
+/** The target with the pickedest requests in flight from this entry. */
 export class LeastOutstandingPolicy extends types.Policy {
   choose(
     _request: types.RoutedRequest,
--- a/src/routing/prefix-index.ts
+++ b/src/routing/prefix-index.ts
@@ -39,8 +39,8 @@
 
   /** Records that a prompt of `tokens` was sent to a target. */
   noteSent(prefix: string, id: string, tokens: number): void {
-    const held = this.byPrefix.get(prefix) ?? [];
-    const others = held.filter(holder => holder.id !== id);
+    const holders = this.byPrefix.get(prefix) ?? [];
+    const others = holders.filter(holder => holder.id !== id);
     this.byPrefix.delete(prefix);
     this.byPrefix.set(
       prefix,
@@ -51,10 +51,10 @@
 
   /** Records that a target has evicted a prefix. */
   noteEvicted(prefix: string, id: string): void {
-    const held = this.byPrefix.get(prefix) ?? [];
+    const holders = this.byPrefix.get(prefix) ?? [];
     this.byPrefix.set(
       prefix,
-      held.filter(holder => holder.id !== id),
+      holders.filter(holder => holder.id !== id),
     );
   }
 
--- a/src/targets/cooldown-tracker.test.ts
+++ b/src/targets/cooldown-tracker.test.ts
@@ -43,28 +43,28 @@
   it('allow one request at a time in the half-open state, until one is accepted', () => {
     const tracker = new CooldownTracker();
     tracker.start('a', 1_000, 0);
-    const back = maxCooldownMs(1_000);
-    expect(tracker.waitMs('a', back)).toBe(0);
-    tracker.noteSent('a', back);
-    expect(tracker.waitMs('a', back)).toBe(TRIAL_INTERVAL_MS);
-    expect(tracker.waitMs('a', back + TRIAL_INTERVAL_MS)).toBe(0);
-    tracker.noteSent('a', back + TRIAL_INTERVAL_MS);
-    expect(tracker.waitMs('a', back + TRIAL_INTERVAL_MS)).toBe(
+    const endsAt = maxCooldownMs(1_000);
+    expect(tracker.waitMs('a', endsAt)).toBe(0);
+    tracker.noteSent('a', endsAt);
+    expect(tracker.waitMs('a', endsAt)).toBe(TRIAL_INTERVAL_MS);
+    expect(tracker.waitMs('a', endsAt + TRIAL_INTERVAL_MS)).toBe(0);
+    tracker.noteSent('a', endsAt + TRIAL_INTERVAL_MS);
+    expect(tracker.waitMs('a', endsAt + TRIAL_INTERVAL_MS)).toBe(
       TRIAL_INTERVAL_MS,
     );
-    expect(tracker.noteAccepted('a', back, back + TRIAL_INTERVAL_MS + 9)).toBe(
-      true,
-    );
-    expect(tracker.waitMs('a', back + TRIAL_INTERVAL_MS + 9)).toBe(0);
+    expect(
+      tracker.noteAccepted('a', endsAt, endsAt + TRIAL_INTERVAL_MS + 9),
+    ).toBe(true);
+    expect(tracker.waitMs('a', endsAt + TRIAL_INTERVAL_MS + 9)).toBe(0);
     expect(tracker.size).toBe(0);
   });
 
   it('leave the half-open state after its maximum time', () => {
     const tracker = new CooldownTracker();
     tracker.start('a', 1_000, 0);
-    const back = maxCooldownMs(1_000) + HALF_OPEN_MS;
-    tracker.noteSent('a', back);
-    expect(tracker.waitMs('a', back)).toBe(0);
+    const endsAt = maxCooldownMs(1_000) + HALF_OPEN_MS;
+    tracker.noteSent('a', endsAt);
+    expect(tracker.waitMs('a', endsAt)).toBe(0);
   });
 
   it('restart if the target asks again in the half-open state', () => {
@@ -105,7 +105,7 @@
     expect(tracker.size).toBe(1);
   });
 
-  it('hold back all requests until their end, in any order of events', () => {
+  it('hold endsAt all requests until their end, in any order of events', () => {
     const step = fc.record({
       target: fc.constantFrom('a', 'b', 'c'),
       kind: fc.constantFrom('ask', 'send', 'take', 'wait'),
--- a/src/targets/permit-issuer.test.ts
+++ b/src/targets/permit-issuer.test.ts
@@ -74,7 +74,7 @@
   });
 
   it('stays under the limit in any window, for random requests', () => {
-    const asks = fc.array(
+    const requestsArbitrary = fc.array(
       fc.record({
         afterMs: fc.integer({min: 0, max: 400}),
         wanted: fc.integer({min: 0, max: 20}),
@@ -93,11 +93,11 @@
       }
     };
     fc.assert(
-      fc.property(asks, limits, (some, perSecond) => {
+      fc.property(requestsArbitrary, limits, (requests, perSecond) => {
         const issuer = new PermitIssuer();
         const grants: Array<[number, number]> = [];
         let now = 0;
-        for (const {afterMs, wanted} of some) {
+        for (const {afterMs, wanted} of requests) {
           now += afterMs;
           issuer.heartbeat(now);
           const {permits} = issuer.grant('a', limit(perSecond), wanted, now);
--- a/src/targets/rate-limit-tracker.test.ts
+++ b/src/targets/rate-limit-tracker.test.ts
@@ -1,7 +1,7 @@
 import {RateLimitTracker, MAX_LIMITS} from './rate-limit-tracker';
 import {PERMIT_TTL_MS} from './permit-issuer';
 
-const named = (perSecond: number) => ({kind: 'limit', perSecond}) as const;
+const limitOf = (perSecond: number) => ({kind: 'limit', perSecond}) as const;
 const none = {kind: 'none'} as const;
 
 describe('rate limits advertised by targets', () => {
@@ -16,16 +16,16 @@
 
   it('apply from the first answer on, and only to their target', () => {
     expect(tracker.waitMs('a', 0)).toBe(0);
-    expect(tracker.applyAdvertised('a', named(2), 0, 10)).toBe('named');
-    expect(tracker.applyAdvertised('a', named(2), 5, 20)).toBeUndefined();
-    expect(tracker.applyAdvertised('a', named(1), 15, 30)).toBe('changed');
+    expect(tracker.applyAdvertised('a', limitOf(2), 0, 10)).toBe('named');
+    expect(tracker.applyAdvertised('a', limitOf(2), 5, 20)).toBeUndefined();
+    expect(tracker.applyAdvertised('a', limitOf(1), 15, 30)).toBe('changed');
     expect(tracker.waitMs('a', 40)).toBeGreaterThan(0);
     const available = tracker.filterAvailable(['a', 'b'], one => one, 40);
     expect(available).toEqual(['b']);
   });
 
   it('end by an answer to a later request, not by a delayed one', () => {
-    tracker.applyAdvertised('a', named(2), 0, 10);
+    tracker.applyAdvertised('a', limitOf(2), 0, 10);
     expect(tracker.applyAdvertised('a', none, 5, 20)).toBeUndefined();
     expect(tracker.waitMs('a', 20)).toBeGreaterThan(0);
     expect(tracker.applyAdvertised('a', none, 15, 30)).toBe('ended');
@@ -42,13 +42,13 @@
       tracker.applyAdvertised('a', {kind: 'unread', text: 'x'}, 0, 1),
     ).toBeUndefined();
     expect(tracker.waitMs('a', 1)).toBe(0);
-    tracker.applyAdvertised('a', named(2), 0, 10);
+    tracker.applyAdvertised('a', limitOf(2), 0, 10);
     tracker.applyAdvertised('a', {kind: 'unread', text: '-1'}, 20, 30);
     expect(tracker.perSecond('a')).toBe(2);
   });
 
   it('allow one request per permit until the permit expires', () => {
-    tracker.applyAdvertised('a', named(20), 0, 10);
+    tracker.applyAdvertised('a', limitOf(20), 0, 10);
     for (let at = 0; at < 3; at += 1) {
       tracker.requestPermits(['a', 'b'], 20);
     }
@@ -71,7 +71,7 @@
   });
 
   it('bound the permits requested and the time of the demand', () => {
-    tracker.applyAdvertised('a', named(8), 0, 10);
+    tracker.applyAdvertised('a', limitOf(8), 0, 10);
     for (let at = 0; at < 50; at += 1) {
       tracker.requestPermits(['a'], 20);
     }
@@ -83,7 +83,7 @@
 
   it('are kept for a bounded number of lifetimes', () => {
     for (let at = 0; at < MAX_LIMITS + 10; at += 1) {
-      tracker.applyAdvertised(`t-${at}`, named(1), 0, at);
+      tracker.applyAdvertised(`t-${at}`, limitOf(1), 0, at);
     }
     expect(tracker.size).toBe(MAX_LIMITS);
     tracker.forget(`t-${MAX_LIMITS}`);
--- a/src/targets/rate-limit-tracker.ts
+++ b/src/targets/rate-limit-tracker.ts
@@ -50,17 +50,17 @@
    */
   applyAdvertised(
     lifetime: string,
-    named: RateLimitHeader,
+    header: RateLimitHeader,
     sentAt: number,
     now: number,
   ): LimitChange | undefined {
-    switch (named.kind) {
+    switch (header.kind) {
       case 'unread':
         return undefined;
       case 'none':
         return this.update(lifetime, {perSecond: undefined, at: sentAt});
       case 'limit':
-        return this.update(lifetime, {perSecond: named.perSecond, at: now});
+        return this.update(lifetime, {perSecond: header.perSecond, at: now});
     }
   }
 
