--- a/src/experts/change.test.ts
+++ b/src/experts/change.test.ts
@@ -284,7 +284,7 @@
     order: types.Order,
   ): Promise<types.OrderResult> {
     const {group} = this.world;
-    const sentArm =
+    const given =
       order.kind === 'arm'
         ? {...order, rank: rankNumber, isConfirmed: false}
         : undefined;
@@ -293,10 +293,10 @@
       if (!this.acceptsTerm(helper)) {
         return 'deposed';
       }
-      group.ranks[helper]!.gave = sentArm ?? null;
+      group.ranks[helper]!.gave = given ?? null;
       const [result] = await helperRanks.orderRemotely([rankNumber], order);
-      if (sentArm !== undefined) {
-        sentArm.isConfirmed = result === 'done';
+      if (given !== undefined) {
+        given.isConfirmed = result === 'done';
       }
       return result!;
     });
--- a/src/experts/planner.ts
+++ b/src/experts/planner.ts
@@ -6,7 +6,7 @@
 import type {ExpertParameters} from '../routes/types';
 import * as mapChange from './change';
 import {RecentDemand} from './demand';
-import * as groupClient from './group-client';
+import * as groupClients from './group-client';
 import type {GroupRanks, GroupReading} from './group-client';
 import * as mapChanger from './map-changer';
 import * as plans from './plan';
@@ -165,7 +165,7 @@
     const figures = this.context.figures();
     if (figures === undefined) {
       // A reading tells the other members who the planner is.
-      await this.context.groupClient.read(groupClient.STATES_ONLY);
+      await this.context.groupClient.read(groupClients.STATES_ONLY);
       return;
     }
     if (this.known === undefined && !this.isChanging) {
@@ -174,7 +174,7 @@
     }
     const readAt = performance.now();
     const reading = await this.context.groupClient.read(
-      groupClient.PLANNING_READ,
+      groupClients.PLANNING_READ,
     );
     this.recordReadingTime(performance.now() - readAt);
     if (reading.isDeposed) {
@@ -186,7 +186,7 @@
     this.lastView = undefined;
     if (hasDrifted) {
       // Passes the new view on to entries before the next reading.
-      void this.context.groupClient.read(groupClient.STATES_ONLY);
+      void this.context.groupClient.read(groupClients.STATES_ONLY);
     }
     // A reading that started during a change may show the group held.
     const isAfterChange = readAt > this.changer.endedAt;
--- a/src/forwarding/target-finder.ts
+++ b/src/forwarding/target-finder.ts
@@ -192,8 +192,9 @@
 /**
  * Maximum wait for targets that are all unavailable, in milliseconds. During a
  * cooldown a request is refused with a retry time instead; a started stream
- * waits, because it can't be refused. After a cooldown, targets are tried with one request at a
- * time. At rate limits, only requests wait that get a permit within the wait.
+ * waits, because it can't be refused. After a cooldown, targets are tried with
+ * one request at a time. At rate limits, only requests wait that get a permit
+ * within the wait.
  */
 function maxUnavailabilityWaitMs(
   call: Call,
--- a/src/targets/cooldown-tracker.test.ts
+++ b/src/targets/cooldown-tracker.test.ts
@@ -105,7 +105,7 @@
     expect(tracker.size).toBe(1);
   });
 
-  it('hold endsAt all requests until their end, in any order of events', () => {
+  it('hold back all requests until their end, in any order of events', () => {
     const step = fc.record({
       target: fc.constantFrom('a', 'b', 'c'),
       kind: fc.constantFrom('ask', 'send', 'take', 'wait'),
