--- a/src/crashes/crash-coordinator.ts
+++ b/src/crashes/crash-coordinator.ts
@@ -210,9 +210,9 @@
   private async notifyPeers(
     notices: readonly QuarantineNotice[],
   ): Promise<void> {
-    const {directory} = this.context.peers;
+    const {directory: peerDirectory} = this.context.peers;
     await Promise.all(
-      directory.known.map(peer => this.notifyPeer(peer, notices)),
+      peerDirectory.known.map(peer => this.notifyPeer(peer, notices)),
     );
   }
 
--- a/src/experts/planner.ts
+++ b/src/experts/planner.ts
@@ -204,13 +204,13 @@
 
   /** Finishes a change left by another planner, then reads the map in force. */
   private async recover(): Promise<void> {
-    const {client, log, group, ownRank, term} = this.contextParts();
-    const reading = await client.readAll();
+    const {groupClient, log, group, ownRank, term} = this.contextParts();
+    const reading = await groupClient.readAll();
     if (reading.isDeposed) {
       this.context.onDeposed();
       return;
     }
-    const ranks = client.ranksOf(reading);
+    const ranks = groupClient.ranksOf(reading);
     if (ranks === undefined) {
       await this.resolveOrphaned(reading);
       return;
@@ -230,9 +230,9 @@
   }
 
   private contextParts() {
-    const {groupClient: client, log, group} = this.context;
+    const {groupClient, log, group} = this.context;
     const ownRank = this.context.ownRank();
-    return {client, log, group, ownRank, term: this.context.term()};
+    return {groupClient, log, group, ownRank, term: this.context.term()};
   }
 
   /**
@@ -240,7 +240,7 @@
    * read: the group may be held and must not wait for that rank.
    */
   private async resolveOrphaned(reading: GroupReading): Promise<void> {
-    const {groupClient: client, log, metrics} = this.context;
+    const {groupClient, log, metrics} = this.context;
     const previousRank = this.context.previousRank();
     const readings = [...reading.ranks.values()];
     const [first] = readings;
@@ -251,7 +251,7 @@
       readings.length === first.state.size - 1 &&
       readings.every(one => one.state.rank !== previousRank);
     if (isOnlyPreviousMissing) {
-      const ranks = client.partialRanksOf(reading);
+      const ranks = groupClient.partialRanksOf(reading);
       const end = await mapChange.resolveOrphaned(
         ranks,
         readings,
--- a/src/targets/limit-coordinator.ts
+++ b/src/targets/limit-coordinator.ts
@@ -311,14 +311,14 @@
     notified: Set<string>,
   ): Promise<void> {
     const [first, ...others] = this.issuerOrder(lifetime, word, now);
-    const {ownAddress} = this.context.peers;
-    if (first !== ownAddress) {
+    const {ownAddress: self} = this.context.peers;
+    if (first !== self) {
       this.stopIssuing(lifetime);
       return;
     }
     // Includes silent peers: they may be issuing if this process was suspended.
     const all = this.context.peers.ranked(lifetime);
-    const place = all.indexOf(ownAddress);
+    const place = all.indexOf(self);
     const next = new Set([
       ...random.sample(all.slice(0, place), MAX_SILENT_TRIED),
       ...all.slice(place + 1, place + 1 + SUCCESSORS_NOTIFIED),
