--- a/src/configuration/follower.ts
+++ b/src/configuration/follower.ts
@@ -59,7 +59,10 @@
   private readonly closing = new AbortController();
   private readonly closed = new Subject<void>();
   private readonly fetching = new Map<string, Promise<void>>();
-  /** Odd while this process polls the store for the list of instances. */
+  /**
+   * Incremented when polling the store for the list of instances starts and when
+   * it stops, so that an answer of an earlier round is ignored. Odd while polling.
+   */
   private instancePollRound = 0;
   private instancePollTimer: NodeJS.Timeout | undefined;
   private gossipTimer: NodeJS.Timeout | undefined;
@@ -208,7 +211,7 @@
     return rendezvous.topByKey(hall, live, one => one.id, WATCHERS_PER_HALL);
   }
 
-  /** Exchanges stamps with a random process, to find what other ways missed. */
+  /** Exchanges stamps with a random process, to find missed updates. */
   private async gossip(): Promise<void> {
     const others = this.instances.filter(
       i => i.state === 'live' && i.id !== this.identity.id,
--- a/src/peers/kind-replica.ts
+++ b/src/peers/kind-replica.ts
@@ -4,7 +4,8 @@
  * their order doesn't matter.
  *
  * Objects whose values carry a version are compared by that first: a store that
- * was restored from a backup may list an older object until it is written again.
+ * was restored from an older copy may list an older object until it is written
+ * again.
  */
 import * as murmurhash from 'murmurhash';
 import type * as objects from '../platform/types';
--- a/src/peers/peer-directory.ts
+++ b/src/peers/peer-directory.ts
@@ -54,7 +54,10 @@
     }
   }
 
-  /** The last helpful peer if it is among these, otherwise a random one. */
+  /**
+   * One of `peers`: the one whose last answer held recent updates if it is among
+   * them, otherwise a random one. Undefined if `peers` is empty.
+   */
   chooseFrom(peers: readonly string[]): string | undefined {
     const {lastHelpful} = this;
     const [first] = random.sample(peers, 1);
@@ -63,7 +66,10 @@
       : first;
   }
 
-  /** Up to `count` random peers, the last helpful one first. */
+  /**
+   * Up to `count` peers: first the one whose last answer held recent updates, if
+   * any, then random ones.
+   */
   chooseToPoll(count: number): string[] {
     const {lastHelpful} = this;
     const others = this.known.filter(address => address !== lastHelpful);
--- a/src/peers/watcher-election.ts
+++ b/src/peers/watcher-election.ts
@@ -1,9 +1,9 @@
 /**
  * Decides whether a process watches the store itself or polls peers that do. A
  * few watch for all, so that the store's calls, which are paid for, don't grow
- * with the number of processes. There is no vote: all processes rank the
- * addresses they know by the same hash, and one whose updates are late watches
- * by itself.
+ * with the number of processes. The election needs no messages: each process
+ * ranks the addresses that it knows by the same hash. A process whose updates are
+ * late also watches the store.
  */
 import * as murmurhash from 'murmurhash';
 
--- a/src/platform/client.ts
+++ b/src/platform/client.ts
@@ -1,6 +1,6 @@
 /**
  * Client of the platform's object API: conditional writes, lists and
- * long-poll watches. It holds no copy; see `configuration` for that.
+ * long-poll watches.
  */
 import type * as http from 'node:http';
 import * as v from 'valibot';
--- a/src/platform/revisions.test.ts
+++ b/src/platform/revisions.test.ts
@@ -4,7 +4,7 @@
 const eras = fc.integer({min: 0, max: revisions.MAX_ERA});
 const revisionsInEra = fc.integer({min: 0, max: 2 ** 40 - 1});
 
-describe('revisions of a store that may be restored from a backup', () => {
+describe('revisions of a store that may be restored from an older copy', () => {
   it('sort by era, then by revision, and can be split again', () => {
     fc.assert(
       fc.property(
--- a/src/requests/admission.ts
+++ b/src/requests/admission.ts
@@ -114,7 +114,8 @@
     const now = performance.now();
     const isNew = !this.cooldown.isActive(now);
     this.cooldown.start(ms, now);
-    // Lets in requests queued behind a trial that does not end.
+    // Starts queued requests when the half-open state ends, even if the request
+    // that ran alone in it has not ended.
     clearTimeout(this.cooldownTimer);
     const leftMs = Math.ceil(this.cooldown.remainingMs(now));
     this.cooldownTimer = setTimeout(() => this.startNext(), leftMs);
--- a/src/requests/headers.ts
+++ b/src/requests/headers.ts
@@ -5,7 +5,7 @@
 export const ACCOUNT_HEADER = 'ferrycleat-account';
 /** Milliseconds left until the caller's deadline. */
 export const TIMEOUT_HEADER = 'ferrycleat-timeout-ms';
-/** The engine's name of a stream. */
+/** Name that identifies a request's response stream at the engine. */
 export const STREAM_HEADER = 'ferrycleat-stream';
 /** Priority at the engine; lower numbers are served first. */
 export const PRIORITY_HEADER = 'ferrycleat-priority';
--- a/src/roles/drained-halls.ts
+++ b/src/roles/drained-halls.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks the halls that operators have drained with objects in the store, as the
- * store or peers report them. A hall missing from a store that was restored from a
- * backup stays drained for a while, since its object is written again.
+ * store or peers report them. A hall missing from a store that was restored from an
+ * older copy stays drained for a while, since its object is written again.
  */
 import type {Log} from '../observability/log';
 import {KindReplica} from '../peers/kind-replica';
--- a/src/roles/site-follower.ts
+++ b/src/roles/site-follower.ts
@@ -43,7 +43,7 @@
 const TARGETS_WAIT_MS = 20_000;
 /** The longest wait that the store allows. */
 const DRAINED_HALLS_WAIT_MS = 30_000;
-/** Time after an outage in which targets may still write their entries again. */
+/** Time after an outage in which targets may still write their documents again. */
 const OUTAGE_GRACE_MS = 1_000;
 /** Age of the configuration at which peers are polled though no call has failed. */
 const MAX_STORE_SILENCE_MS = 2_000;
@@ -183,7 +183,10 @@
     );
   }
 
-  /** Makes all knowledge older by the time of a suspension. */
+  /**
+   * Adds the time for which the process was suspended to the ages of the
+   * configuration, the replicas and the last contact.
+   */
   age(suspendedMs: number): void {
     this.configuration.backdate(suspendedMs);
     this.replicas.forEach(replica => replica.age(suspendedMs));
@@ -411,7 +414,7 @@
     }
   }
 
-  /** `inGrace`: missing targets may still write their entries again. */
+  /** `inGrace`: missing targets may still write their documents again. */
   private applyTargetsEvent(event: WatchEvent, inGrace: boolean): void {
     if (event.kind !== 'listed' && event.kind !== 'changed') {
       return;
@@ -421,7 +424,7 @@
     const {found, unread} = this.readTargets(items);
     const isRolledBack = this.detectRollback(revision, now);
     if (event.kind === 'listed') {
-      // A restored backup lacks targets that will write their entries again.
+      // An older copy may lack targets that will write their documents again.
       const mayReturn = inGrace || isRolledBack;
       this.targets.replaceAll(found, now, mayReturn, unread);
     } else {
@@ -435,7 +438,7 @@
     this.context.onTargets();
   }
 
-  /** True if the store was restored from a backup since the last update. */
+  /** True if the store was restored from an older copy since the last update. */
   private detectRollback(revision: StoreRevision, now: number): boolean {
     const era = revisions.eraOf(revision);
     const isRolledBack = this.era !== undefined && era > this.era;
--- a/src/rpc/types.ts
+++ b/src/rpc/types.ts
@@ -29,14 +29,14 @@
 export const RPC_PATH = '/rpc';
 /** Maximum size of a request or response body. */
 export const MAX_RPC_BYTES = 8 * 1024 * 1024;
-/** Header with the version stamp of the sender's configuration copy. */
+/** Header with the version stamp of the sender's configuration replica. */
 export const STAMP_HEADER = 'ferrycleat-stamp';
 /** Header with the address on which the sender listens. */
 export const PEER_HEADER = 'ferrycleat-peer';
 
 /** Exchanges configuration stamps between processes in the headers of calls. */
 export interface StampExchange {
-  /** The stamp of this process's configuration copy. */
+  /** The stamp of this process's configuration replica. */
   ownStamp(): string;
   /** Called with each stamp received; `address` is empty if not known. */
   onPeerStamp(stamp: string, address: string): void;
