--- a/src/platform/revisions.ts
+++ b/src/platform/revisions.ts
@@ -1,8 +1,8 @@
 /**
  * Revisions that order the store's writes. A store that is restored from an older
  * copy issues the same revisions again, but in a higher era. The era and the
- * revision within it are combined into one integer that sorts by era first, so that
- * nothing can compare revisions of different eras; only the store's client splits it.
+ * revision within it are combined into one integer that sorts by era first; only
+ * the store's client splits it.
  */
 
 const REVISIONS_PER_ERA = 2 ** 40;
